--- a/seamlb/agree/acting.py
+++ b/seamlb/agree/acting.py
@@ -70,7 +70,7 @@
         """The settings with this agent's parts of allowances: the module divides them by the instances."""
         allowances = list(settings.allowances)
         for name, value in self.values.items():
-            if name.startswith(TENANT) and (number := settings.tenants.get(name.removeprefix(TENANT))) is not None:
+            if name.startswith(TENANT) and (number := settings.tenant_ids.get(name.removeprefix(TENANT))) is not None:
                 allowances[number] = value["parts"].get(self.holder.name, 0.0) * settings.instances
         return replace(settings, allowances=tuple(allowances))
 
--- a/seamlb/api.py
+++ b/seamlb/api.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-FIXED = ("me", "instances", "zone", "on_request", "network", "self_number", "fields", "report_source")  # for a start
+RESTART_ONLY = ("me", "instances", "zone", "on_request", "network", "self_number", "fields", "report_source")
 
 
 class Status(IntEnum):
@@ -25,10 +25,10 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_RUN = 7
 
 
-NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.MOOT})  # proof that the attempt did nothing
+NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.NOT_RUN})  # proof that the attempt did nothing
 BARRING = frozenset({Status.TIMEOUT, Status.RESET, Status.CANCELLED})  # rule 5: lines may stay taken for a while
 
 
@@ -113,44 +113,44 @@
     fields: tuple[str, ...]
     report_source: str
     # Numbers of the classes and tenants that requests may name. Others were dropped; what is open keeps them.
-    kinds: Mapping[str, int] = field(default_factory=dict)
-    tenants: Mapping[str, int] = field(default_factory=dict)
+    class_ids: Mapping[str, int] = field(default_factory=dict)
+    tenant_ids: Mapping[str, int] = field(default_factory=dict)
     tenant_names: tuple[str, ...] = ()  # by number, also of those that were dropped
 
     @property
-    def patience(self) -> float:
+    def longest_deadline(self) -> float:
         """The longest that a caller waits."""
         return max(kind.deadline for kind in self.classes)
 
-    def after(
+    def following(
         self, old: Settings, open_classes: Collection[int] = (), open_tenants: Collection[int] = ()
     ) -> Settings:
         """This version as the one that follows `old`: who has a number there keeps it.
 
         A number that was dropped is given again once no open call has it and a version has passed without it, so that
-        the tables don't grow with each reload. What is `FIXED` stays as it was at the start.
+        the tables don't grow with each reload. What is `RESTART_ONLY` stays as it was at the start.
         """
-        kinds = _numbered(len(old.classes), old.kinds, self.kinds, open_classes)
-        tenants = _numbered(len(old.allowances), old.tenants, self.tenants, open_tenants)
+        kinds = _numbered(len(old.classes), old.class_ids, self.class_ids, open_classes)
+        tenants = _numbered(len(old.allowances), old.tenant_ids, self.tenant_ids, open_tenants)
         return replace(
             self,
-            kinds=kinds,
-            tenants=tenants,
-            classes=_placed(old.classes, self.classes, self.kinds, kinds),
-            allowances=_placed(old.allowances, self.allowances, self.tenants, tenants),
-            tenant_names=_placed(old.tenant_names, self.tenant_names, self.tenants, tenants),
-            **{name: getattr(old, name) for name in FIXED},
+            class_ids=kinds,
+            tenant_ids=tenants,
+            classes=_placed(old.classes, self.classes, self.class_ids, kinds),
+            allowances=_placed(old.allowances, self.allowances, self.tenant_ids, tenants),
+            tenant_names=_placed(old.tenant_names, self.tenant_names, self.tenant_ids, tenants),
+            **{name: getattr(old, name) for name in RESTART_ONLY},
         )
 
-    def renamed(self, old: Settings) -> tuple[set[int], set[int]]:
+    def reassigned_ids(self, old: Settings) -> tuple[set[int], set[int]]:
         """Numbers of classes and of tenants that stand for another name here than in `old`."""
         classes = zip((one.name for one in old.classes), (one.name for one in self.classes), strict=False)
         tenants = zip(old.tenant_names, self.tenant_names, strict=False)
         return _changed(classes), _changed(tenants)
 
-    def waits(self, old: Settings) -> list[str]:
+    def restart_only_changes(self, old: Settings) -> list[str]:
         """What differs and is for a start only."""
-        return [name for name in FIXED if getattr(self, name) != getattr(old, name)]
+        return [name for name in RESTART_ONLY if getattr(self, name) != getattr(old, name)]
 
     @classmethod
     def from_mapping(cls, raw: Mapping[str, Any]) -> Settings:
@@ -215,8 +215,8 @@
             repeat=_number(extra, "Repeat", 0.0, where="Extra."),
             fields=tuple(report.get("Fields") or ()),
             report_source=str(report.get("Source", "none")),
-            kinds={kind.name: place for place, kind in enumerate(classes)},
-            tenants={str(one.get("Name", "")): place for place, one in enumerate(tenants)},
+            class_ids={kind.name: place for place, kind in enumerate(classes)},
+            tenant_ids={str(one.get("Name", "")): place for place, one in enumerate(tenants)},
             tenant_names=tuple(str(one.get("Name", "")) for one in tenants),
         )
 
@@ -293,13 +293,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Demand:
+class CallRequest:
     """A call wants to be set up; it needs one final answer within ``grace``."""
 
     call: int
     call_class: int
     tenant: int
-    grace: float
+    time_left: float
     destination: int
     slots: float = 1.0
     hint: float = 0.0
@@ -307,11 +307,11 @@
     in_transit: bool = False
     cut_before: bool = False
     via: int = -1
-    key: int = 0  # the number called; 0 tells nothing
+    number_key: int = 0  # the number called; 0 tells nothing
 
 
 @dataclass(slots=True, frozen=True)
-class Stands:
+class Answered:
     """An attempt was answered: the call stands until its ``Ended``."""
 
     call: int
@@ -342,14 +342,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Alarm:
+class TimerFired:
     """A timer that was asked for has come due."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
-class Sampled:
+class ServerReport:
     """A probe's answer, or unasked news of free circuits (``delay`` 0)."""
 
     server: int
@@ -359,7 +359,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PeerNote:
+class PeerMessage:
     """A message from another access node."""
 
     sender: int
@@ -367,19 +367,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Retuned:
+class NewSettings:
     """The settings are these from now on; calls that are known keep their class as it was."""
 
     settings: Settings
 
 
-Event = ListChange | Demand | Stands | Ended | HungUp | Alarm | Sampled | PeerNote | Retuned
+Event = ListChange | CallRequest | Answered | Ended | HungUp | TimerFired | ServerReport | PeerMessage | NewSettings
 
 # -- actions ----------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class CallOut:
+class SendSetUp:
     """Send a set-up; ``within`` is the attempt's time-out."""
 
     call: int
@@ -388,7 +388,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Deny:
+class Refuse:
     """Final answer: refused; ``backoff`` tells the caller when to return (0: no advice)."""
 
     call: int
@@ -396,14 +396,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ReportFailure:
+class Fail:
     """Final answer: the call failed."""
 
     call: int
 
 
 @dataclass(slots=True, frozen=True)
-class Withdraw:
+class Cancel:
     """Call an attempt off."""
 
     call: int
@@ -411,22 +411,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WakeAt:
-    """Ask for an ``Alarm`` at a clock time."""
+class SetTimer:
+    """Ask for a ``TimerFired`` at a clock time."""
 
     token: int
     at: float
 
 
 @dataclass(slots=True, frozen=True)
-class Poll:
+class Probe:
     """Probe a core server."""
 
     server: int
 
 
 @dataclass(slots=True, frozen=True)
-class Signal:
+class SendMessage:
     """Send a message to one access node, or to all (``target`` None)."""
 
     target: int | None
@@ -441,22 +441,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FreeLinks:
+class CloseIdle:
     """Close idle connections to a core server."""
 
     server: int
 
 
 @dataclass(slots=True, frozen=True)
-class Follow:
+class Subscribe:
     """Subscribe to list changes, or end the subscription."""
 
     enable: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Pull:
+class FetchList:
     """Ask for the full list once."""
 
 
-Action = CallOut | Deny | ReportFailure | Withdraw | WakeAt | Poll | Signal | Log | FreeLinks | Follow | Pull
+Action = SendSetUp | Refuse | Fail | Cancel | SetTimer | Probe | SendMessage | Log | CloseIdle | Subscribe | FetchList
--- a/seamlb/config.py
+++ b/seamlb/config.py
@@ -44,7 +44,7 @@
     @property
     def tenants(self) -> tuple[str, ...]:
         """Names of the tenants, in the settings' order."""
-        return tuple(self.settings.tenants)
+        return tuple(self.settings.tenant_ids)
 
     def lacks(self, new: Config) -> str:
         """The first key of this one that a new one has not; empty if it has all."""
--- a/seamlb/daemon.py
+++ b/seamlb/daemon.py
@@ -48,7 +48,7 @@
         settings, clock = config.settings, Clock().now
         self.hook = hook(plugins)
         rules = local_rules(config, plugins, clock)
-        self.lifecycle = Lifecycle(settings.patience / 1000.0, config.inherited is not None)
+        self.lifecycle = Lifecycle(settings.longest_deadline / 1000.0, config.inherited is not None)
         self.agent = Agent(
             settings,
             config.seed,
@@ -222,14 +222,14 @@
             return []
         if any(part.steady for part in self.parts):
             return ["settings"]
-        self.agent.retune(config.settings.after(self.agent.settings, *self.agent.numbers_in_use()))
+        self.agent.retune(config.settings.following(self.agent.settings, *self.agent.numbers_in_use()))
         self.agent.max_open = config.max_open
         if self.platform_desks:
             self.platform_desks.owner.connect_timeout = config.connect_timeout
-        self.lifecycle.longest = self.agent.settings.patience / 1000.0
+        self.lifecycle.longest = self.agent.settings.longest_deadline / 1000.0
         self.config = replace(self.config, **{name: getattr(config, name) for name in SETTINGS})
-        log.event("settings", classes=sorted(config.settings.kinds), attempts=config.settings.limits.attempts_cap)
-        return [f"settings.{name}" for name in config.settings.waits(old.settings)]
+        log.event("settings", classes=sorted(config.settings.class_ids), attempts=config.settings.limits.attempts_cap)
+        return [f"settings.{name}" for name in config.settings.restart_only_changes(old.settings)]
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then drain: keep taking, answer all that was taken, go."""
--- a/seamlb/desks/platform.py
+++ b/seamlb/desks/platform.py
@@ -14,7 +14,7 @@
 from seamlb.protocol.sip import Message, parameter, response
 from seamlb.routing.model import Answer, Attempt, Availability, Desk, Heard, Outcome, Status
 
-STATUSES = {503: Status.FULL, 486: Status.ERROR, 500: Status.ERROR, 480: Status.MOOT, 504: Status.RESET}
+STATUSES = {503: Status.FULL, 486: Status.ERROR, 500: Status.ERROR, 480: Status.NOT_RUN, 504: Status.RESET}
 NORMAL = 16  # Q.850 cause of a call that was released
 
 
--- a/seamlb/desks/sip.py
+++ b/seamlb/desks/sip.py
@@ -16,7 +16,7 @@
 
 STATUSES = {
     408: Status.TIMEOUT,
-    480: Status.MOOT,
+    480: Status.NOT_RUN,
     486: Status.ERROR,
     500: Status.ERROR,
     503: Status.FULL,
--- a/seamlb/drill.py
+++ b/seamlb/drill.py
@@ -59,11 +59,11 @@
 
 def _demand(read: Reader) -> tuple[int, api.Event]:
     inst, call, hint, key, tenant, flags, kind, via, grace, slots, dest = read.take(DEMAND)
-    event = api.Demand(
+    event = api.CallRequest(
         call=call,
         call_class=kind,
         tenant=tenant,
-        grace=grace,
+        time_left=grace,
         destination=int(dest),
         slots=slots,
         hint=hint,
@@ -71,14 +71,14 @@
         in_transit=bool(flags & 8),
         cut_before=bool(flags & 16),
         via=int(via),
-        key=key,
+        number_key=key,
     )
     return inst, event
 
 
 def _stands(read: Reader) -> tuple[int, api.Event]:
     inst, call, leg, server, delay = read.take(STANDS)
-    return inst, api.Stands(call, leg, server, delay)
+    return inst, api.Answered(call, leg, server, delay)
 
 
 def _ended(read: Reader) -> tuple[int, api.Event]:
@@ -93,17 +93,17 @@
 
 def _alarm(read: Reader) -> tuple[int, api.Event]:
     inst, token = read.take(REF)
-    return inst, api.Alarm(token)
+    return inst, api.TimerFired(token)
 
 
 def _sampled(read: Reader) -> tuple[int, api.Event]:
     inst, status, delay, server = read.take(SAMPLED)
-    return inst, api.Sampled(server, status, delay, read.report())
+    return inst, api.ServerReport(server, status, delay, read.report())
 
 
 def _peer(read: Reader) -> tuple[int, api.Event]:
     inst, sender = read.take(PEER)
-    return inst, api.PeerNote(sender, read.blob(U16))
+    return inst, api.PeerMessage(sender, read.blob(U16))
 
 
 EVENTS: dict[int, tuple[str, Callable[[Reader], tuple[int, api.Event]]]] = {
@@ -122,28 +122,28 @@
 def encode(inst: int, action: api.Action) -> bytes:
     """Turn an action into its record."""
     match action:
-        case api.CallOut(call, server, within):
+        case api.SendSetUp(call, server, within):
             return struct.pack("<HHQId", 65, inst, call, server, within)
-        case api.Deny(call, backoff):
+        case api.Refuse(call, backoff):
             return struct.pack("<HHQd", 66, inst, call, backoff)
-        case api.ReportFailure(call):
+        case api.Fail(call):
             return struct.pack("<HHQ", 67, inst, call)
-        case api.Withdraw(call, leg):
+        case api.Cancel(call, leg):
             return struct.pack("<HHQB", 68, inst, call, leg)
-        case api.WakeAt(token, at):
+        case api.SetTimer(token, at):
             return struct.pack("<HHQd", 69, inst, token, at)
-        case api.Poll(server):
+        case api.Probe(server):
             return struct.pack("<HHI", 70, inst, server)
-        case api.FreeLinks(server):
+        case api.CloseIdle(server):
             return struct.pack("<HHI", 71, inst, server)
-        case api.Signal(target, payload):
+        case api.SendMessage(target, payload):
             to = ALL_PEERS if target is None else target
             return struct.pack("<HHIH", 72, inst, to, len(payload)) + payload
         case api.Log(text):
             return _text(73, inst, text)
-        case api.Follow(enable):
+        case api.Subscribe(enable):
             return struct.pack("<HHB", 75, inst, enable)
-        case api.Pull():
+        case api.FetchList():
             return struct.pack("<HH", 76, inst)
     raise TypeError(f"not an action: {action!r}")
 
--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -206,12 +206,12 @@
     def _read(self, message: Message, ident: str) -> Request:
         settings = self.agent.settings
         name = message.get("x-cos")
-        if name not in settings.kinds:
+        if name not in settings.class_ids:
             raise ManagementCallError("unknown class")
         if not IDENT.fullmatch(ident):
             raise ManagementCallError("Call-ID is not 16 hex digits")
         tenant = message.get("x-operator")
-        if tenant and settings.tenants and tenant not in settings.tenants:
+        if tenant and settings.tenant_ids and tenant not in settings.tenant_ids:
             raise ManagementCallError("unknown tenant")
         scheme, _, rest = message.uri.partition(":")
         number = rest.partition("@")[0]
@@ -219,13 +219,13 @@
             raise ManagementCallError("not a SIP address")
         if len(message.body) > MOST_BODY:
             raise ManagementCallError("the description is too long")
-        kind = settings.classes[settings.kinds[name]]
+        kind = settings.classes[settings.class_ids[name]]
         told = figures(message.get("x-legs"), kind)
         return Request(
             ident=ident,
-            call_class=settings.kinds[name],
+            call_class=settings.class_ids[name],
             class_name=name,
-            tenant=settings.tenants.get(tenant, 0),
+            tenant=settings.tenant_ids.get(tenant, 0),
             tenant_name=tenant,
             number=number,
             patience_ms=patience(message.get("x-timer-ms"), kind, "X-Timer-Ms"),
--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -284,21 +284,21 @@
                 "transport": transport,
                 "headers": {key.lower(): value for key, value in message.headers},
             }
-            name, tenant = self.classify(facts, settings.kinds, settings.tenants)
-        if name not in settings.kinds:
+            name, tenant = self.classify(facts, settings.class_ids, settings.tenant_ids)
+        if name not in settings.class_ids:
             raise ManagementCallError("unknown class")
-        if tenant and tenant not in settings.tenants:
+        if tenant and tenant not in settings.tenant_ids:
             raise ManagementCallError("unknown tenant")
-        kind = settings.classes[settings.kinds[name]]
+        kind = settings.classes[settings.class_ids[name]]
         timer = message.get(config.deadline_header.lower())
         waits = patience(timer, kind, config.deadline_header) if timer else config.default_deadline_ms
         usual = config.destinations.get(name, min(kind.pools) if kind.pools else 0)
         told = figures(message.get(config.figures_header.lower()), kind, usual)
         return Request(
             ident=ident,
-            call_class=settings.kinds[name],
+            call_class=settings.class_ids[name],
             class_name=name,
-            tenant=settings.tenants.get(tenant, 0),
+            tenant=settings.tenant_ids.get(tenant, 0),
             tenant_name=tenant,
             number=number,
             patience_ms=waits or kind.deadline,
--- a/seamlb/observations.py
+++ b/seamlb/observations.py
@@ -47,7 +47,7 @@
     wait: DecayingValue = field(default_factory=lambda: DecayingValue(RECOVER_MS))
     idle: float = math.inf  # free lines
     circuits: float = math.inf  # all lines
-    told: float = -math.inf  # when its lines were last heard of
+    reported_at: float = -math.inf  # when its lines were last heard of
     heard: float = -math.inf  # last answer of any kind
     passed: float = -math.inf  # when the latest set-up that was answered had been sent
     lost: float = -math.inf  # when a set-up last ran out of time with nothing heard since
@@ -134,7 +134,7 @@
         if (server := self.servers.get(ident)) is None:
             return
         if "idle" in seen:
-            server.idle, server.told = seen["idle"], now
+            server.idle, server.reported_at = seen["idle"], now
             server.circuits = seen.get("circuits", server.circuits)
             self.count_lines(now, cold)
         if 0.0 <= seen.get("avg_ms", -1.0) < math.inf:
--- a/seamlb/plugins/service.py
+++ b/seamlb/plugins/service.py
@@ -32,7 +32,7 @@
             [kind.name for kind in settings.classes],
             offices,
             top.name,
-            settings.patience,
+            settings.longest_deadline,
             lambda name, facts: log.event(name, **facts),
         )
         self.advisor = PluginAdvisor(self.chain, settings, offices, clock)
--- a/seamlb/policy/controller.py
+++ b/seamlb/policy/controller.py
@@ -36,36 +36,36 @@
         self.node.clock.advance(now)
         if now >= self.beat:
             self.beat = now + STALL_MS / 2
-            self.out.append(api.WakeAt(BEAT, self.beat))
+            self.out.append(api.SetTimer(BEAT, self.beat))
         match event:
-            case api.Demand():
+            case api.CallRequest():
                 self._demand(now, event)
-            case api.Stands():
+            case api.Answered():
                 self._stands(now, event)
             case api.Ended():
                 self._ended(now, event)
             case api.HungUp():
                 if call := self.calls.get(event.call):
-                    self.callers.turn_away(now, call, self.node.settings.patience)
+                    self.callers.turn_away(now, call, self.node.settings.longest_deadline)
                 self._forget(event.call)
-            case api.Alarm():
+            case api.TimerFired():
                 if (call := self.calls.get(event.token)) and call.server is None and now >= call.not_before:
                     self._place(now, call)
             case api.ListChange():
                 self._list(now, event)
-            case api.Sampled():
+            case api.ServerReport():
                 self.node.report(now, event.server, event.report)
-            case api.Retuned():
+            case api.NewSettings():
                 self._retune(event.settings)
         return self.out
 
-    def steer(self, settings: api.Settings) -> None:
+    def update_inputs(self, settings: api.Settings) -> None:
         """Take other inputs of the same classes and tenants; ranks stay."""
         self.node.settings = settings
 
     def _retune(self, settings: api.Settings) -> None:
         """Take new settings: what is known of calls and servers stays."""
-        self.callers.forget(*settings.renamed(self.node.settings))
+        self.callers.forget(*settings.reassigned_ids(self.node.settings))
         had = {rank: traffic for traffic, rank in self.node.ranking.ranks.items()}
         self.node.settings, self.node.ranking = settings, Ranking.of(settings)
         lowest = len(self.node.ranking.floor_ratios) - 1
@@ -76,22 +76,22 @@
 
     def _list(self, now: float, event: api.ListChange) -> None:
         if self.node.settings.on_request and (event.scope == api.Scope.FAILED or not self.node.fleet.listed):
-            self.out.append(api.Follow(True))
+            self.out.append(api.Subscribe(True))
         if event.scope != api.Scope.FAILED:
             self.node.update(now, event)
 
-    def _demand(self, now: float, event: api.Demand) -> None:
+    def _demand(self, now: float, event: api.CallRequest) -> None:
         settings = self.node.settings
         kind = settings.classes[event.call_class]
-        caller = event.key, event.call_class, event.tenant
+        caller = event.number_key, event.call_class, event.tenant
         since, over = self.callers.admit(now, caller, settings)
         late = int(kind.late_worth < 1.0 and now - since >= kind.on_time)
         rank = self.node.ranking.ranks[event.call_class, over, late]
         width, cap = event.slots or kind.width, settings.limits.attempts_cap
-        over_by, target, transit = now + event.grace, event.destination, event.in_transit
+        over_by, target, transit = now + event.time_left, event.destination, event.in_transit
         call = Call(event.call, kind, rank, over_by, target, transit, width, caller, since, over, cap)
         self.calls[event.call] = call
-        if now < self.callers.busy.get(event.key, 0.0):
+        if now < self.callers.busy.get(event.number_key, 0.0):
             self._give_up(now, call)
         else:
             self._place(now, call)
@@ -109,25 +109,25 @@
         due = now + min(ranking.limits[ranking.limit_of[call.rank]], left)
         server.pending[call.ident] = Pending(due, awake, len(server.pending) + 1)
         server.sent = awake
-        self.out.append(api.CallOut(call.ident, server.entry.server, left))
+        self.out.append(api.SendSetUp(call.ident, server.entry.server, left))
         self.gate.detect(now, server)
 
     def _give_up(self, now: float, call: Call) -> None:
         """The final answer, at once; only a set-up that may have run forbids refusing."""
         del self.calls[call.ident]
         settings, kind = self.node.settings, call.kind
-        self.callers.turn_away(now, call, settings.patience)
+        self.callers.turn_away(now, call, settings.longest_deadline)
         if call.ran is None or kind.effect == "free" or (kind.effect == "guarded" and kind.group == "all"):
             backoff = settings.limits.max_retry_after * self.node.rng.uniform(0.25, 0.75)
-            self.out.append(api.Deny(call.ident, backoff))  # whether or not callers are known to heed it
+            self.out.append(api.Refuse(call.ident, backoff))  # whether or not callers are known to heed it
         else:
-            self.out.append(api.ReportFailure(call.ident))
+            self.out.append(api.Fail(call.ident))
 
     def _forget(self, ident: int) -> None:
         if (call := self.calls.pop(ident, None)) and call.server:
             call.server.pending.pop(ident, None)
 
-    def _stands(self, now: float, event: api.Stands) -> None:
+    def _stands(self, now: float, event: api.Answered) -> None:
         self.calls.pop(event.call, None)
         if (server := self.node.fleet.servers.get(event.server)) is None:
             return
@@ -151,7 +151,7 @@
             if (call := self.calls.get(ident)) and call.server is server:
                 call.overtaken += 1
                 if call.overtaken == OVERTAKEN and self.node.settings.limits.cancel:
-                    self.out.append(api.Withdraw(ident, call.attempts - 1))
+                    self.out.append(api.Cancel(ident, call.attempts - 1))
 
     def _ended(self, now: float, event: api.Ended) -> None:
         self.node.report(now, event.server, event.report)
@@ -179,7 +179,7 @@
         self.gate.detect(now, server)
         if full:
             # All nodes rush to the few lines told free; one turned away knows better till next told.
-            server.idle, server.told = 0.0, now
+            server.idle, server.reported_at = 0.0, now
 
     def _avoid_again(self, call: Call, server: Server | None, event: api.Ended) -> None:
         """Does the call never go there again? A server that fails many calls may yet take this one."""
@@ -201,6 +201,6 @@
         if event.note == LINES_BUSY or event.status == api.Status.OK or too_late:
             self._give_up(now, call)
         elif call.not_before > now:
-            self.out.append(api.WakeAt(call.ident, call.not_before))
+            self.out.append(api.SetTimer(call.ident, call.not_before))
         else:
             self._place(now, call)
--- a/seamlb/policy/node.py
+++ b/seamlb/policy/node.py
@@ -47,7 +47,7 @@
         patience = max(self.ranking.limits[0], SILENT_TIMES * server.wait.get(now))
         return server.heard <= oldest and awake - oldest > patience
 
-    def avoids(self, now: float, server: Server) -> bool:
+    def excludes(self, now: float, server: Server) -> bool:
         """Does it get no call now, whichever it is?"""
         ready = server.entry.availability == api.Availability.READY  # rule 3
         return not ready or self.silent(now, server)
--- a/seamlb/policy/ranking.py
+++ b/seamlb/policy/ranking.py
@@ -39,7 +39,7 @@
     @classmethod
     def of(cls, settings: api.Settings) -> "Ranking":
         """Rank the traffic that the settings allow."""
-        live = sorted(settings.kinds.values())
+        live = sorted(settings.class_ids.values())
         longest = max(settings.classes[place].on_time for place in live)
         # All aims scaled down so that the longest ends where a waiting set-up is repeated.
         scale = min(1.0, settings.repeat / longest) if settings.repeat else 1.0
--- a/seamlb/policy/routing.py
+++ b/seamlb/policy/routing.py
@@ -32,7 +32,7 @@
 
     def _may_send(self, now: float, call: Call, server: Server) -> bool:
         entry, settings, spills = server.entry, self.node.settings, server.entry.cell != call.destination
-        if entry.server in call.tried or self.node.avoids(now, server):
+        if entry.server in call.tried or self.node.excludes(now, server):
             return False
         if settings.network:
             barred = entry.cell == settings.self_number or (call.in_transit and spills) or not server.circuits
@@ -45,7 +45,7 @@
     def _shows_lines(self, now: float, call: Call, server: Server) -> bool:
         """Does it show free lines enough? Cheaper ranks leave some to dearer ones; reports age."""
         left = server.idle - self.node.ranking.reserve[call.rank] * math.sqrt(server.size())
-        return left >= call.width or now - server.told > RECOVER_MS
+        return left >= call.width or now - server.reported_at > RECOVER_MS
 
     def _has_room(self, now: float, server: Server, spills: bool) -> bool:
         """Rule 4: this node's part of what a cold server may get; spill onto warm servers is bounded too."""
--- a/seamlb/routing/agent.py
+++ b/seamlb/routing/agent.py
@@ -83,20 +83,20 @@
             preferred = request.destination != asked.destination  # a local rule comes before a plan
             grace = request.patience_ms - request.sent_ms_ago
             self.feed(
-                api.Demand(
+                api.CallRequest(
                     call=life.number,
                     call_class=request.call_class,
                     tenant=request.tenant,
-                    grace=grace,
+                    time_left=grace,
                     destination=request.destination if preferred else self._choice(request),
                     slots=request.slots,
                     cut_before=request.cut_before,
                     via=request.via,
-                    key=key_of(request.number),
+                    number_key=key_of(request.number),
                 )
             )
             decision = await self._decision(life)
-            while isinstance(decision, api.CallOut):
+            while isinstance(decision, api.SendSetUp):
                 result_of = await self._attempt(life, decision)
                 if isinstance(result_of, Answer):
                     result = await self._stand(life, result_of)
@@ -131,9 +131,9 @@
         self.feed(api.HungUp(life.number))
         if isinstance(news, Overdue):
             log.event("fault", where="decision", call=life.request.ident, error="none came in time")
-        return news if isinstance(news, CallerLeft) else api.ReportFailure(life.number)
+        return news if isinstance(news, CallerLeft) else api.Fail(life.number)
 
-    async def _attempt(self, life: Life, out: api.CallOut) -> Answer | Outcome | Verdict | CallerLeft:
+    async def _attempt(self, life: Life, out: api.SendSetUp) -> Answer | Outcome | Verdict | CallerLeft:
         """Carry out one attempt to its answer or outcome; an attempt that is left early is called off."""
         assert self.desks is not None and life.attempt is None
         within = out.within or life.request.patience_ms
@@ -155,21 +155,21 @@
             case TimedOut():
                 self.desks.give_up(attempt)
                 return Outcome(api.Status.TIMEOUT)
-            case api.Withdraw():
+            case api.Cancel():
                 self.desks.give_up(attempt)
                 return Outcome(api.Status.CANCELLED)
             case CallerLeft() | Shutdown():
                 self.desks.give_up(attempt)
                 self.feed(api.HungUp(life.number))
                 self._ended(life, Outcome(api.Status.CANCELLED), final=True)
-                return news if isinstance(news, CallerLeft) else api.ReportFailure(life.number)
+                return news if isinstance(news, CallerLeft) else api.Fail(life.number)
 
     async def _stand(self, life: Life, answer: Answer) -> str:
         """The call stands: pass the answer on, then wait for the release from either side."""
         assert self.desks is not None and life.attempt is not None
         told = self._answer(life, answer)
         self.seam.ended(self.clock() / 1000.0, life.number, api.Status.OK)
-        self.feed(api.Stands(life.number, life.attempt.leg, life.server, self._delay(life)))
+        self.feed(api.Answered(life.number, life.attempt.leg, life.server, self._delay(life)))
         if told == "stands":
             match await life.news.release(life.attempt.leg):
                 case Heard(_, Outcome() as outcome):
@@ -192,7 +192,7 @@
         if not self.unanswered:
             self.idle.set()
         if self.measure:
-            how = {CallerLeft: "left", Answer: "fulfilled", api.Deny: "throttled"}.get(type(final), "faulted")
+            how = {CallerLeft: "left", Answer: "fulfilled", api.Refuse: "throttled"}.get(type(final), "faulted")
             self.measure(life.kind, how, self.clock() - life.since)
         match final:
             case CallerLeft():
@@ -207,7 +207,7 @@
                 return "stands"
             case _ if life.left:
                 return "left"
-            case api.Deny(_, backoff):
+            case api.Refuse(_, backoff):
                 self.counters.throttled[life.kind] += 1
                 life.caller.refused(backoff)
                 return "refused"
@@ -234,7 +234,7 @@
         if life.attempt and self.desks:
             (self.desks.release(life.attempt, 41) if life.stood else self.desks.give_up(life.attempt))
         if not life.answered:
-            self._answer(life, api.ReportFailure(life.number))
+            self._answer(life, api.Fail(life.number))
 
     def _close(self, life: Life, result: str) -> None:
         del self.lives[life.number]
--- a/seamlb/routing/core.py
+++ b/seamlb/routing/core.py
@@ -52,7 +52,7 @@
         self.peers: Peers | None = None
         self.lives: dict[int, Life] = {}
         self.counters = Counters()
-        self.counters.know(tuple(settings.kinds))
+        self.counters.know(tuple(settings.class_ids))
         # Desk ids and the module's numbers, kept while the desk is listed or has an attempt or a call that
         # stands: desks are replaced all day. A number is never given twice.
         self.numbers: dict[str, int] = {}
@@ -67,24 +67,24 @@
         """Give the module an event and carry out what it decides, in order."""
         self.look()
         for action in self.module.handle(self.clock(), event):
-            if self.seam.parts and isinstance(action, api.CallOut) and action.call in self.lives:
+            if self.seam.parts and isinstance(action, api.SendSetUp) and action.call in self.lives:
                 self.seam.sent(self.clock() / 1000.0, action.call, self.names.get(action.server, ""))
                 self.desks_changed()
             match action:
-                case api.CallOut() | api.Deny() | api.ReportFailure() | api.Withdraw():
+                case api.SendSetUp() | api.Refuse() | api.Fail() | api.Cancel():
                     if life := self.lives.get(action.call):
                         life.news.put_nowait(action)
-                case api.WakeAt(token, at):
+                case api.SetTimer(token, at):
                     self._alarm(token, at)
-                case api.Signal(target, payload):
+                case api.SendMessage(target, payload):
                     if self.peers:
                         self.peers.send(target, payload)
-                case api.FreeLinks(server):
+                case api.CloseIdle(server):
                     if self.desks and server in self.names:
                         self.desks.free(self.names[server])
                 case api.Log(text):
                     log.event("module", text=text)
-                case api.Follow() | api.Pull() | api.Poll():
+                case api.Subscribe() | api.FetchList() | api.Probe():
                     pass  # the list comes unasked here, and desks may not be probed
 
     def _alarm(self, token: int, at: float) -> None:
@@ -94,7 +94,7 @@
         """
         early = at - self.clock()
         if early <= 0.0:
-            asyncio.get_running_loop().call_soon(self.tell, api.Alarm(token))
+            asyncio.get_running_loop().call_soon(self.tell, api.TimerFired(token))
         else:
             asyncio.get_running_loop().call_later(max(early / 1000.0, LEAST_WAIT), self._due, token, at)
 
@@ -102,7 +102,7 @@
         if self.clock() < at:
             self._alarm(token, at)
         else:
-            self.tell(api.Alarm(token))
+            self.tell(api.TimerFired(token))
 
     def tell(self, event: api.Event) -> None:
         """Feed news that belongs to no life; a fault is logged and must not end whoever brought the news."""
@@ -114,8 +114,8 @@
     def retune(self, settings: api.Settings) -> None:
         """Serve by these settings from now on, which follow those in force; what is open keeps its class."""
         self.settings = settings
-        self.counters.know(tuple(settings.kinds))
-        self.tell(api.Retuned(self._for_module(settings)))
+        self.counters.know(tuple(settings.class_ids))
+        self.tell(api.NewSettings(self._for_module(settings)))
 
     def numbers_in_use(self) -> tuple[set[int], set[int]]:
         """Numbers of classes and tenants that calls which are open have."""
@@ -125,12 +125,12 @@
     def share_among(self, instances: int) -> None:
         """Fleet-wide limits are divided by so many instances from now on."""
         self.instances = instances
-        self.tell(api.Retuned(self._for_module(self.settings)))
+        self.tell(api.NewSettings(self._for_module(self.settings)))
 
     def look(self) -> None:
         """Before anything is done: act on what the parts say now."""
         if self.seam.look():
-            self.tell(api.Retuned(self._for_module(self.settings)))
+            self.tell(api.NewSettings(self._for_module(self.settings)))
             self.desks_changed()
 
     def _for_module(self, settings: api.Settings) -> api.Settings:
@@ -146,7 +146,7 @@
             "open_requests": len(self.lives),
             "registry_entries": len(self.listed),
             "out_of_rotation": sum(
-                self.module.node.avoids(now, server) for server in self.module.node.fleet.servers.values()
+                self.module.node.excludes(now, server) for server in self.module.node.fleet.servers.values()
             ),
         }
 
@@ -182,7 +182,7 @@
         if self.guide:
             now = self.clock()
             self.guide.step(now)
-            self.module.steer(self._for_module(self.guide.inputs(now)))
+            self.module.update_inputs(self._for_module(self.guide.inputs(now)))
             news, self.guide.news = self.guide.news, []
             for name, facts in news:
                 log.event(name, **facts)
@@ -233,8 +233,8 @@
         """Unasked news of a desk's free agents."""
         if desk in self.numbers:
             self._reported(desk, report)
-            self.tell(api.Sampled(self.numbers[desk], api.Status.OK, 0.0, report))
+            self.tell(api.ServerReport(self.numbers[desk], api.Status.OK, 0.0, report))
 
     def peer_said(self, sender: int, payload: bytes) -> None:
         """A message from another call agent."""
-        self.tell(api.PeerNote(sender, payload))
+        self.tell(api.PeerMessage(sender, payload))
--- a/seamlb/routing/inbox.py
+++ b/seamlb/routing/inbox.py
@@ -18,8 +18,8 @@
 class Wait(Enum):
     """Where the coroutine of a request waits; each value is the order in which it takes what is pending there."""
 
-    DECISION = (CallerLeft, api.Deny, api.ReportFailure, Shutdown, Overdue, api.CallOut)
-    SERVER = (Answer, Outcome, CallerLeft, api.Withdraw, TimedOut, Shutdown)
+    DECISION = (CallerLeft, api.Refuse, api.Fail, Shutdown, Overdue, api.SendSetUp)
+    SERVER = (Answer, Outcome, CallerLeft, api.Cancel, TimedOut, Shutdown)
     RELEASE = (Outcome, CallerLeft)
 
 
@@ -31,7 +31,7 @@
     match news:
         case Heard(about, what):
             kind: type = type(what)
-        case TimedOut(about) | api.Withdraw(_, about):
+        case TimedOut(about) | api.Cancel(_, about):
             kind = type(news)
         case _:
             about, kind = leg, type(news)
--- a/seamlb/routing/news.py
+++ b/seamlb/routing/news.py
@@ -40,8 +40,8 @@
     what: Answer | Outcome
 
 
-Verdict = api.CallOut | api.Deny | api.ReportFailure
+Verdict = api.SendSetUp | api.Refuse | api.Fail
 Decision = Verdict | CallerLeft | Shutdown | Overdue  # what ends a wait with no attempt out
-AttemptNews = Heard | CallerLeft | api.Withdraw | TimedOut | Shutdown  # what ends the wait for a server
+AttemptNews = Heard | CallerLeft | api.Cancel | TimedOut | Shutdown  # what ends the wait for a server
 CallNews = Heard | CallerLeft  # what ends a call that stands
-News = Verdict | api.Withdraw | CallerLeft | TimedOut | Shutdown | Overdue | Heard
+News = Verdict | api.Cancel | CallerLeft | TimedOut | Shutdown | Overdue | Heard
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -93,7 +93,7 @@
             process = self._process(now, node)
             for server in sent_to(process.handle(now, demand(call, dest=COLD))):
                 self.sends += [now] * (server == COLD)
-                process.handle(now, api.Stands(call, 0, server, 5.0))
+                process.handle(now, api.Answered(call, 0, server, 5.0))
         return self
 
     def overrun(self) -> float:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -206,7 +206,7 @@
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(k, await d.start()) for k, d in enumerate(desks)])
         for place, one in enumerate(desks):
             await self.eventually(lambda one=one: one.peers)
-            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].told > 0)
+            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
             self.warm(daemon, place)
         return daemon
 
--- a/tests/mechanism.py
+++ b/tests/mechanism.py
@@ -24,7 +24,7 @@
 def wait(controller: Controller, start: float, end: float) -> None:
     """Let time pass with other events coming in, so that the node is not taken as stalled."""
     for turn in range(int(start), int(end), 100):
-        controller.handle(float(turn), api.Alarm(999))
+        controller.handle(float(turn), api.TimerFired(999))
 
 
 def late_worth(part: float = 0.25, **change: object) -> api.Settings:
--- a/tests/one_turn.py
+++ b/tests/one_turn.py
@@ -149,16 +149,16 @@
             case "old time-out":
                 self.life.news.put_nowait(TimedOut(self.leg - 1))
             case "withdrawn":
-                self.life.news.put_nowait(api.Withdraw(self.life.number, self.leg))
+                self.life.news.put_nowait(api.Cancel(self.life.number, self.leg))
             case "old withdrawn":
-                self.life.news.put_nowait(api.Withdraw(self.life.number, self.leg - 1))
+                self.life.news.put_nowait(api.Cancel(self.life.number, self.leg - 1))
             case "overdue":
                 self.life.news.put_nowait(Overdue())
             case "bar over":
-                self.agent.tell(api.Alarm(self.life.number))
+                self.agent.tell(api.TimerFired(self.life.number))
             case "no server":
                 self.agent.list_changed(api.Scope.CACHED, [])
-                self.agent.tell(api.Alarm(self.life.number))
+                self.agent.tell(api.TimerFired(self.life.number))
             case _:
                 raise ValueError(event)
         if event in ("caller left", "shutdown", "overdue") and self.ended_at is None:
--- a/tests/support.py
+++ b/tests/support.py
@@ -36,7 +36,7 @@
 }
 
 # Aims so far off that the module takes no answer that a busy machine keeps back for a jam.
-PATIENT: dict[str, Any] = {
+LONG_TARGETS: dict[str, Any] = {
     "Classes": [kind | {"OnTime": 8000.0} for kind in RAW["Classes"]],
     "Extra": RAW["Extra"] | {"Repeat": 0.0},
 }
@@ -60,8 +60,8 @@
     controller.handle(now, api.ListChange(api.Scope.CACHED, tuple(entry(s) for s in servers)))
 
 
-def demand(call: int, kind: int = 0, dest: int = 1, grace: float = 3000.0, tenant: int = 0) -> api.Demand:
-    return api.Demand(call, kind, tenant, grace, dest)
+def demand(call: int, kind: int = 0, dest: int = 1, grace: float = 3000.0, tenant: int = 0) -> api.CallRequest:
+    return api.CallRequest(call, kind, tenant, grace, dest)
 
 
 def ended(call: int, server: int, status: int, leg: int = 0, delay: float = 10.0) -> api.Ended:
@@ -69,7 +69,7 @@
 
 
 def sent_to(actions: list[api.Action]) -> list[int]:
-    return [action.server for action in actions if isinstance(action, api.CallOut)]
+    return [action.server for action in actions if isinstance(action, api.SendSetUp)]
 
 
 def cold_allowance(made: api.Settings, capacity: float, age: float) -> float:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -57,8 +57,8 @@
     host.controllers[3] = Spy()  # type: ignore[assignment]
     assert host.serve(io.BytesIO(frame(record)), io.BytesIO()) == 0
     (event,) = seen
-    assert isinstance(event, api.Demand)
-    assert (event.grace, event.destination, event.slots, event.hint) == (240.0, 57, 1200.0, 12.0)
+    assert isinstance(event, api.CallRequest)
+    assert (event.time_left, event.destination, event.slots, event.hint) == (240.0, 57, 1200.0, 12.0)
 
 
 def test_a_call_is_sent_and_unknown_settings_are_skipped() -> None:
@@ -117,17 +117,17 @@
 
 def test_every_action_has_its_record() -> None:
     expected = {
-        api.CallOut(1, 2, 3.0): 65,
-        api.Deny(1, 2.0): 66,
-        api.ReportFailure(1): 67,
-        api.Withdraw(1, 0): 68,
-        api.WakeAt(1, 2.0): 69,
-        api.Poll(2): 70,
-        api.FreeLinks(2): 71,
-        api.Signal(None, b"hi"): 72,
+        api.SendSetUp(1, 2, 3.0): 65,
+        api.Refuse(1, 2.0): 66,
+        api.Fail(1): 67,
+        api.Cancel(1, 0): 68,
+        api.SetTimer(1, 2.0): 69,
+        api.Probe(2): 70,
+        api.CloseIdle(2): 71,
+        api.SendMessage(None, b"hi"): 72,
         api.Log("x"): 73,
-        api.Follow(True): 75,
-        api.Pull(): 76,
+        api.Subscribe(True): 75,
+        api.FetchList(): 76,
     }
     for action, code in expected.items():
         assert struct.unpack_from("<HH", encode(5, action)) == (code, 5)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -32,7 +32,8 @@
         daemon, desk, _, life = await self.open_call()
         life.news.put_nowait(ended(life, api.Status.RESET))  # barred for 300 ms
         await self.eventually(lambda: life.attempt is None)
-        life.news.put_nowait(api.CallOut(life.number, 0, 1000.0))  # the bar is over, and in the same turn of the loop
+        # the bar is over, and in the same turn of the loop
+        life.news.put_nowait(api.SendSetUp(life.number, 0, 1000.0))
         daemon.agent.caller_left(life)  # the caller goes
         await self.eventually(lambda: not daemon.agent.lives)
         await self.until_quiet(daemon, desk)
@@ -52,7 +53,7 @@
         await self.eventually(lambda: life.attempt is None)
         caller.send(plain("CANCEL", ID))
         await self.eventually(lambda: not daemon.agent.lives)
-        daemon.agent.tell(api.Alarm(life.number))  # the bar is over
+        daemon.agent.tell(api.TimerFired(life.number))  # the bar is over
         await self.until_quiet(daemon, desk)
 
     async def until_quiet(self, daemon: Any, desk: ScriptedDesk) -> None:
@@ -119,7 +120,7 @@
         daemon = await self.start(desk)
         daemon.agent.list_changed(api.Scope.DELTA, [self.desk(1, desk.address)])
         await self.eventually(lambda: len(desk.peers) == 2)
-        await self.eventually(lambda: daemon.agent.module.node.fleet.servers[1].told > 0)
+        await self.eventually(lambda: daemon.agent.module.node.fleet.servers[1].reported_at > 0)
         self.warm(daemon, 1)
         caller = await self.caller()
         caller.send(invite(dest=1))
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -106,7 +106,7 @@
             wait(controller, 10.0, 2500.0)
             controller.node.fleet.servers[1].heard = controller.node.clock.awake
         for call in range(6, 11):
-            controller.handle(2500.0, api.Demand(call, 0, 0, 3000.0, 1))
+            controller.handle(2500.0, api.CallRequest(call, 0, 0, 3000.0, 1))
             controller.node.fleet.servers[1].heard = controller.node.clock.awake
         assert controller.node.fleet.servers[1].level == level
 
@@ -177,7 +177,7 @@
     for stall in (300.0, 600.0, 2000.0):
         start = controller.node.clock.last + 100.0
         controller.handle(start, demand(int(start)))
-        controller.handle(start + stall, api.Stands(int(start), 0, 1, stall))
+        controller.handle(start + stall, api.Answered(int(start), 0, 1, stall))
         assert controller.node.fleet.servers[1].wait.get(start + stall) == 0.0
         assert controller.node.fleet.servers[1].level == 0
 
@@ -188,6 +188,6 @@
     listed(controller, now, 1)
     for _ in range(20):
         now = controller.beat
-        beats += controller.handle(now, api.Alarm(1 << 63))
-    assert all(isinstance(beat, api.WakeAt) for beat in beats)
+        beats += controller.handle(now, api.TimerFired(1 << 63))
+    assert all(isinstance(beat, api.SetTimer) for beat in beats)
     assert controller.node.clock.awake == now  # no call for seconds, and yet no stall
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -104,5 +104,5 @@
         controller.handle(now, api.Ended(10**6 + turn, 0, 1, api.Status.OK, True, 9.0, 0, frozen))
         if sent_to(controller.handle(now, demand(turn, kind=1))):
             sent += 1
-            controller.handle(now + 10.0, api.Stands(turn, 0, 1, 10.0))
+            controller.handle(now + 10.0, api.Answered(turn, 0, 1, 10.0))
     assert 20 < sent < 300  # its floor is about 80 in two minutes
--- a/tests/test_just_started.py
+++ b/tests/test_just_started.py
@@ -27,7 +27,7 @@
         now = call * 250.0
         to = sent_to(controller.handle(now, demand(call, dest=1, tenant=call % tenants)))
         if to:
-            controller.handle(now + 5.0, api.Stands(call, 0, to[0], 5.0))
+            controller.handle(now + 5.0, api.Answered(call, 0, to[0], 5.0))
         served += len(to)
     assert served >= 30
 
@@ -45,7 +45,7 @@
             to = sent_to(node.handle(now, demand(turn, dest=1, tenant=turn % 3)))
             sends += [now] * (to == [1])
             if to:
-                node.handle(now, api.Stands(turn, 0, to[0], 5.0))
+                node.handle(now, api.Answered(turn, 0, to[0], 5.0))
     rules = settings().contract
     capacity = 4.8 * len(nodes) / SERVERS / 1000.0  # of the warm server, per ms
     assert sends
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -84,7 +84,7 @@
             ]
             agent.list_changed(api.Scope.DELTA, [*gone, *desks])
         if number % 4 == 3:
-            agent.retune(versions[number // 4 % 2].after(agent.settings))
+            agent.retune(versions[number // 4 % 2].following(agent.settings))
         for _ in range(CALLS):
             await asyncio.sleep(ROUND / CALLS * rng.random())
             life = agent.take(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,7 +16,7 @@
 from seamlb.routing.agent import Clock
 from seamlb.routing.model import Desk
 from tests.loopback import Peer, ScriptedDesk, Story, config, invite, plain, silent
-from tests.support import PATIENT
+from tests.support import LONG_TARGETS
 from tests.udp_peer import Udp
 
 
@@ -66,7 +66,7 @@
 
     async def test_at_the_limit_idle_connections_give_way_those_first_that_never_asked(self) -> None:
         # Hundreds that said nothing, or had asked once and stayed, shut good callers out.
-        daemon = await self.start(ScriptedDesk(silent), limits={"sockets": 9}, settings=PATIENT)  # 3 callers
+        daemon = await self.start(ScriptedDesk(silent), limits={"sockets": 9}, settings=LONG_TARGETS)  # 3 callers
         busy, asked, silent_one = await self.caller(), await self.caller(), await self.caller()
         busy.send(invite())
         asked.send(plain("OPTIONS", "t"))
@@ -190,7 +190,7 @@
             udp.source = daemon.peers.endpoint.address
             udp.send(data)
         await self.eventually(lambda: seen)
-        self.assertEqual(seen, [api.PeerNote(1, b"hi")])
+        self.assertEqual(seen, [api.PeerMessage(1, b"hi")])
 
 
 class LongDays(Story):
@@ -220,7 +220,7 @@
         for left in (
             agent.lives,
             agent.module.calls,
-            agent.module.callers.turned,
+            agent.module.callers.turned_away,
             +agent.held,
             desks.legs,
             daemon.front.calls,
--- a/tests/test_observations.py
+++ b/tests/test_observations.py
@@ -29,7 +29,7 @@
     assert found.update(20.0, api.ListChange(api.Scope.DELTA, (entry(1),)), COLD) == []
     (started,) = found.update(30.0, api.ListChange(api.Scope.DELTA, (entry(1, since=25.0),)), COLD)
     assert (started.idle, started.circuits, started.cold_from) == (3.0, 40.0, 25.0)
-    assert started.told == -math.inf and started.wait.get(30.0) == 0.0
+    assert started.reported_at == -math.inf and started.wait.get(30.0) == 0.0
 
 
 def test_a_whole_list_takes_off_whom_it_does_not_name_and_a_part_only_whom_it_says_is_gone() -> None:
--- a/tests/test_paused_process.py
+++ b/tests/test_paused_process.py
@@ -9,7 +9,7 @@
 
 from tests.loopback import PATIENCE, SDP, Peer, ScriptedDesk, invite, reply, silent
 from tests.processes import ProcessStory
-from tests.support import PATIENT, RAW
+from tests.support import LONG_TARGETS, RAW
 
 PAUSE = 1.0  # seconds: above STALL_MS and the shortest aim of the settings
 
@@ -33,7 +33,7 @@
     async def test_a_call_whose_answer_comes_during_the_pause_stands_and_the_next_one_goes_there_too(self) -> None:
         # Guards against taking the pause for the server's silence.
         desk = ScriptedDesk(silent)
-        agent, caller = await self.paused(PATIENT, desk)
+        agent, caller = await self.paused(LONG_TARGETS, desk)
         for number in range(2):
             ident = f"{number:016x}"
             caller.send(invite(ident, timer=6000))
--- a/tests/test_plan_daemon.py
+++ b/tests/test_plan_daemon.py
@@ -74,7 +74,7 @@
         self.listed = [self.desk(k, await d.start()) for k, d in enumerate(desks)]
         daemon.agent.list_changed(api.Scope.CACHED, self.listed)
         for place in range(len(desks)):
-            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].told > 0)
+            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
             self.warm(daemon, place)
         return daemon
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -39,7 +39,7 @@
             (503, "acc", (api.Status.FULL, 3)),
             (486, "sub", (api.Status.ERROR, 4)),
             (500, "", (api.Status.ERROR, 0)),
-            (480, "atb", (api.Status.MOOT, 1)),
+            (480, "atb", (api.Status.NOT_RUN, 1)),
             (504, "", (api.Status.RESET, 0)),
         ):
             with self.subTest(status=status):
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -6,7 +6,7 @@
 from seamlb import api
 from seamlb.protocol.sip import Message
 from tests.loopback import PATIENCE, SDP, Peer, ScriptedDesk, Story, bye, invite, plain, reply, silent
-from tests.support import PATIENT, RAW
+from tests.support import LONG_TARGETS, RAW
 
 ID = "00000000000000a1"
 
@@ -23,7 +23,7 @@
         async def script(peer: Peer, message: Message) -> None:
             await drip(peer, reply(message, 100), reply(message, 200, body=SDP), bye(message.get("call-id"), 16))
 
-        daemon = await self.start(ScriptedDesk(script), settings=PATIENT)
+        daemon = await self.start(ScriptedDesk(script), settings=LONG_TARGETS)
         tasks = len(asyncio.all_tasks())
         caller = await self.caller()
         for ident in (ID, "00000000000000a2"):
@@ -40,7 +40,7 @@
         handle = daemon.agent.module.handle
 
         def broken(now: float, event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Demand) and event.call == 1 or isinstance(event, api.ListChange):
+            if isinstance(event, api.CallRequest) and event.call == 1 or isinstance(event, api.ListChange):
                 raise ZeroDivisionError
             return handle(now, event)
 
--- a/tests/test_plugin_daemon.py
+++ b/tests/test_plugin_daemon.py
@@ -53,7 +53,7 @@
         self.address = f"127.0.0.1:{daemon.front.listener.port}"
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(k, await d.start()) for k, d in enumerate(desks)])
         for place in range(len(desks)):
-            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].told > 0)
+            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
             self.warm(daemon, place)
         return daemon
 
@@ -93,10 +93,10 @@
     async def test_standing_is_an_office_of_its_own_that_no_caller_can_name(self) -> None:
         self.write("plugin p version 1\nrule c on classify then precedence")
         daemon = await self.serve(ScriptedDesk())
-        demands: list[api.Demand] = []
+        demands: list[api.CallRequest] = []
         feed = daemon.agent.feed
         daemon.agent.feed = lambda event: (  # type: ignore[method-assign]
-            demands.append(event) if isinstance(event, api.Demand) else None,
+            demands.append(event) if isinstance(event, api.CallRequest) else None,
             feed(event),
         )[1]
         for number in range(30):
@@ -110,7 +110,7 @@
         self.assertEqual({over_share(2) for _ in range(1000)}, {0})
         self.assertEqual([over_share(3) for _ in range(5)], [0, 1, 1, 1, 1])
         self.assertEqual(module.node.settings.allowances[:2], daemon.config.settings.allowances)
-        self.assertEqual(set(daemon.agent.settings.tenants), {"x", "y"})
+        self.assertEqual(set(daemon.agent.settings.tenant_ids), {"x", "y"})
 
     async def test_one_final_answer_whatever_a_plugin_does(self) -> None:
         for name in ("fuel", "trap", "nan"):
--- a/tests/test_rule_budgets.py
+++ b/tests/test_rule_budgets.py
@@ -25,7 +25,7 @@
     while now < 15_000.0:  # a warm server is seen to take `rate`
         now, call = now + 1.0 / rate, call + 1
         assert sent_to(controller.handle(now, demand(call))) == [1]
-        controller.handle(now, api.Stands(call, 0, 1, 30.0))
+        controller.handle(now, api.Answered(call, 0, 1, 30.0))
     seen = controller.node.answer_rate(now, controller.node.fleet.servers[1])
     began = now
     server = 1 if restarted else 2
@@ -36,7 +36,7 @@
         now, call = now + gap, call + 1
         if sent_to(controller.handle(now, demand(call, dest=server))):
             sent.append(now)
-            controller.handle(now, api.Stands(call, 0, server, 30.0))
+            controller.handle(now, api.Answered(call, 0, server, 30.0))
     part = max(seen, controller.node.answer_rate(now, controller.node.fleet.servers[server]))
     for start in sent:
         count = sum(start <= at < start + made.contract.fall for at in sent)
@@ -52,19 +52,19 @@
     controller.handle(1.0, api.ListChange(Scope.DELTA, (entry(1, Availability.DRAINING),)))
     assert sent_to(controller.handle(1.0, demand(1, dest=1))) == [2]
     controller.handle(2.0, api.ListChange(Scope.FULL, ()))
-    assert controller.handle(2.0, demand(2, dest=1))[0].__class__ is api.Deny
+    assert controller.handle(2.0, demand(2, dest=1))[0].__class__ is api.Refuse
 
 
 def test_a_call_given_up_on_is_answered_at_once_with_a_backoff() -> None:
     controller = Controller(make_settings(), 1)
     listed(controller, 0.0)
     (answer,) = controller.handle(5.0, demand(1))
-    assert isinstance(answer, api.Deny)
+    assert isinstance(answer, api.Refuse)
     assert 0 < answer.backoff <= 2000.0
 
 
 def test_a_subscription_is_asked_for_where_the_list_must_be_asked() -> None:
     controller = Controller(make_settings(MembershipMode="on_request"), 1)
     asked = controller.handle(0.0, api.ListChange(Scope.CACHED, (entry(1),)))
-    assert api.Follow(True) in asked
-    assert api.Follow(True) in controller.handle(9.0, api.ListChange(Scope.FAILED, ()))
+    assert api.Subscribe(True) in asked
+    assert api.Subscribe(True) in controller.handle(9.0, api.ListChange(Scope.FAILED, ()))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,7 +41,7 @@
 
     def check(self, action: api.Action) -> None:
         match action:
-            case api.CallOut(call, server, within):
+            case api.SendSetUp(call, server, within):
                 assert call in self.open, "rule 1: sent after the end"
                 assert call not in self.out, "rule 2: two attempts out"
                 assert self.states.get(server) == Availability.READY, "rule 3: not ready"
@@ -58,17 +58,17 @@
                 self.legs[call] = leg
                 until = min(self.open[call], self.now + within if within > 0 else math.inf)
                 self.out[call] = (server, leg, until)
-            case api.Deny(call) | api.ReportFailure(call):
+            case api.Refuse(call) | api.Fail(call):
                 assert call in self.open, "rule 1: a second answer"
                 assert call not in self.out, "an attempt was still out"
                 assert self.now <= self.open[call] + self.made.contract.answer_slack
-                if isinstance(action, api.Deny) and call in self.ran:
+                if isinstance(action, api.Refuse) and call in self.ran:
                     kind, _ = self.kinds[call]
                     assert kind.effect == "free" or (kind.effect == "guarded" and kind.group == "all")
                 self.end(call)
-            case api.WakeAt(token, at):
+            case api.SetTimer(token, at):
                 self.timers.append((at, token))
-            case api.Withdraw() | api.Signal() | api.Poll():
+            case api.Cancel() | api.SendMessage() | api.Probe():
                 raise AssertionError(f"not permitted here: {action}")
 
     def end(self, call: int) -> None:
@@ -79,7 +79,7 @@
         server, leg, _ = self.out.pop(call)
         if stands:
             self.end(call)
-            self.give(api.Stands(call, leg, server, 5.0))
+            self.give(api.Answered(call, leg, server, 5.0))
             return
         if status in UNPROVEN:
             self.ran.setdefault(call, (server, self.now - 5.0))
@@ -104,7 +104,7 @@
                 self.finish(ident, Status.TIMEOUT)
             else:
                 self.timers.remove((at, ident))
-                self.give(api.Alarm(ident))
+                self.give(api.TimerFired(ident))
         self.now = goal
 
     def relist(self, scope: int, servers: dict[int, tuple[int, float]]) -> None:
@@ -177,7 +177,7 @@
                 call = world.next_call
                 world.next_call += 1
                 world.open[call] = world.now + grace
-                numbers = sorted(world.made.kinds.values())
+                numbers = sorted(world.made.class_ids.values())
                 kind = numbers[kind % len(numbers)]
                 world.kinds[call] = world.made.classes[kind], world.made.limits.attempts_cap
                 world.give(demand(call, kind, dest, grace))
@@ -199,11 +199,11 @@
                 world.advance(step_ms)
             case ("stale", ident):
                 world.give(api.HungUp(10_000 + ident))
-                world.give(api.Alarm(10_000 + ident))
+                world.give(api.TimerFired(10_000 + ident))
                 world.give(ended(10_000 + ident, 1, Status.TIMEOUT))
             case ("tune", version):
-                world.made = versions[version].after(world.made)
-                world.give(api.Retuned(world.made))
+                world.made = versions[version].following(world.made)
+                world.give(api.NewSettings(world.made))
             case ("kill",):
                 world.controller = Controller(world.made, 2)
                 world.open, world.out, world.timers, world.ran, world.barred = {}, {}, [], {}, {}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -25,16 +25,18 @@
 
 def test_numbers_never_shift_and_one_that_is_in_use_does_not_come_back() -> None:
     first = version(A, B)
-    second = version(C, B | {"Worth": 7.0}).after(first)
-    assert second.kinds == {"c": 2, "b": 1} and [one.name for one in second.classes] == ["a", "b", "c"]
+    second = version(C, B | {"Worth": 7.0}).following(first)
+    assert second.class_ids == {"c": 2, "b": 1} and [one.name for one in second.classes] == ["a", "b", "c"]
     assert second.classes[1].worth == 7.0 and second.classes[0] == first.classes[0]
-    third = version(A, B, C).after(second, open_classes={0})
-    assert third.kinds == {"a": 3, "b": 1, "c": 2}, "an open call has the number still"
-    assert version(A, B, C).after(second).kinds == {"a": 0, "b": 1, "c": 2}
+    third = version(A, B, C).following(second, open_classes={0})
+    assert third.class_ids == {"a": 3, "b": 1, "c": 2}, "an open call has the number still"
+    assert version(A, B, C).following(second).class_ids == {"a": 0, "b": 1, "c": 2}
     offices = [{"Name": "x", "AllowancePerS": 1.0}, {"Name": "y", "AllowancePerS": 2.0}]
-    fourth = settings(Tenants=offices).after(third)
-    fifth = settings(Tenants=[offices[1] | {"AllowancePerS": 5.0}, {"Name": "z", "AllowancePerS": 3.0}]).after(fourth)
-    assert fifth.tenants == {"y": 1, "z": 2} and fifth.allowances == (1.0, 5.0, 3.0)
+    fourth = settings(Tenants=offices).following(third)
+    fifth = settings(Tenants=[offices[1] | {"AllowancePerS": 5.0}, {"Name": "z", "AllowancePerS": 3.0}]).following(
+        fourth
+    )
+    assert fifth.tenant_ids == {"y": 1, "z": 2} and fifth.allowances == (1.0, 5.0, 3.0)
 
 
 def test_tables_do_not_grow_with_each_reload() -> None:
@@ -42,9 +44,12 @@
     for turn in range(50):  # a class that comes and goes, and one that has another name each time
         named = A | {"Name": f"n{turn}"}
         offices = [{"Name": "x", "AllowancePerS": 1.0}, {"Name": f"y{turn}", "AllowancePerS": 2.0 + turn}]
-        made = settings(Classes=[named, B] if turn % 2 else [A, named, B], Tenants=offices).after(made)
-        assert made.classes[made.kinds[f"n{turn}"]].name == f"n{turn}" and made.classes[made.kinds["b"]].name == "b"
-        assert made.allowances[made.tenants[f"y{turn}"]] == 2.0 + turn and made.tenants["x"] == 0
+        made = settings(Classes=[named, B] if turn % 2 else [A, named, B], Tenants=offices).following(made)
+        assert (
+            made.classes[made.class_ids[f"n{turn}"]].name == f"n{turn}"
+            and made.classes[made.class_ids["b"]].name == "b"
+        )
+        assert made.allowances[made.tenant_ids[f"y{turn}"]] == 2.0 + turn and made.tenant_ids["x"] == 0
     assert len(made.classes) <= 5 and len(made.allowances) <= 3
 
 
@@ -53,21 +58,22 @@
     first = version(A, B, Tenants=offices, OverShareWorth=0.1)
     controller = Controller(first, 1)
     for call in range(3):
-        controller.handle(0.0, api.Demand(call, 1, 1, 3000.0, 1, key=77))  # no server: refused, and y's share is used
-    assert controller.callers.shares[1].level < 1.0 and (77, 1, 1) in controller.callers.turned
-    second = version(A, Tenants=offices[:1], OverShareWorth=0.1).after(first)
-    third = version(A, C, Tenants=[offices[0], offices[1] | {"Name": "z"}], OverShareWorth=0.1).after(second)
-    assert (third.kinds["c"], third.tenants["z"]) == (1, 1)
+        # no server: refused, and y's share is used
+        controller.handle(0.0, api.CallRequest(call, 1, 1, 3000.0, 1, number_key=77))
+    assert controller.callers.shares[1].level < 1.0 and (77, 1, 1) in controller.callers.turned_away
+    second = version(A, Tenants=offices[:1], OverShareWorth=0.1).following(first)
+    third = version(A, C, Tenants=[offices[0], offices[1] | {"Name": "z"}], OverShareWorth=0.1).following(second)
+    assert (third.class_ids["c"], third.tenant_ids["z"]) == (1, 1)
     for made in (second, third):
-        controller.handle(1.0, api.Retuned(made))
-    controller.handle(2.0, api.Demand(9, 1, 1, 3000.0, 1, key=77))
-    assert controller.callers.turned[77, 1, 1] == (2.0, 2.0, 0), "a first try of its own, within its own share"
+        controller.handle(1.0, api.NewSettings(made))
+    controller.handle(2.0, api.CallRequest(9, 1, 1, 3000.0, 1, number_key=77))
+    assert controller.callers.turned_away[77, 1, 1] == (2.0, 2.0, 0), "a first try of its own, within its own share"
 
 
 def test_what_is_for_a_start_only_stays() -> None:
     old, new = version(A, B), version(A, B, Instances=9, Az=2)
-    assert new.waits(old) == ["instances", "zone"]
-    assert (new.after(old).instances, new.after(old).zone) == (old.instances, old.zone)
+    assert new.restart_only_changes(old) == ["instances", "zone"]
+    assert (new.following(old).instances, new.following(old).zone) == (old.instances, old.zone)
 
 
 def test_open_calls_keep_their_class_and_attempts_and_new_ones_have_the_new() -> None:
@@ -77,13 +83,13 @@
     listed(controller, 0.0, 1, 2, 3)
     controller.node.fleet.servers[2].tokens = controller.node.fleet.servers[3].tokens = 2.0
     assert sent_to(controller.handle(0.0, demand(1))) == [1]
-    new = version(A | {"Effect": "single_shot"}, C, Limits=limits | {"AttemptsCap": 1}).after(old)
-    assert controller.handle(1.0, api.Retuned(new)) == []
+    new = version(A | {"Effect": "single_shot"}, C, Limits=limits | {"AttemptsCap": 1}).following(old)
+    assert controller.handle(1.0, api.NewSettings(new)) == []
     assert sent_to(controller.handle(2.0, demand(2))) == [1]
     # The first may be repeated, as it came; the second was sent once and may have run: it may not, nor be refused.
     (again,) = sent_to(controller.handle(3.0, ended(1, 1, Status.ERROR)))
     assert again in (2, 3)
-    assert controller.handle(3.0, ended(2, 1, Status.ERROR)) == [api.ReportFailure(2)]
+    assert controller.handle(3.0, ended(2, 1, Status.ERROR)) == [api.Fail(2)]
 
 
 def test_ranks_are_the_live_classes_and_a_dropped_ones_calls_go_by_the_next() -> None:
@@ -92,8 +98,8 @@
     listed(controller, 0.0, 1)
     controller.handle(0.0, demand(1, kind=0))
     controller.handle(0.0, demand(2, kind=1))
-    new = version(A, C).after(old)
-    controller.handle(1.0, api.Retuned(new))
+    new = version(A, C).following(old)
+    controller.handle(1.0, api.NewSettings(new))
     assert (
         controller.node.ranking.ranks == {(1, 0, 0): 0, (2, 0, 0): 0, (0, 0, 0): 1}
         and len(controller.node.ranking.floor_ratios) == 2
