--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from seamlb.planning.words import table
-from tests.gossip import Network
+from tests.gossip import VirtualNetwork
 
 CASES = ((5, 0.0), (5, 0.1), (5, 0.3), (50, 0.0), (50, 0.1), (50, 0.3), (200, 0.0), (200, 0.1))
 WATCH = 60.0  # seconds in which nobody dies: every accusation is false
@@ -26,22 +26,22 @@
     """First to know, last to know, false suspicions, false deaths, bytes a second an instance."""
     size, loss, seed = job
     names = {f"i{n}" for n in range(size)}
-    net = Network(size, seed=seed, loss=loss)
-    net.until_agreed(names)
+    net = VirtualNetwork(size, seed=seed, loss=loss)
+    net.run_until_converged(names)
     net.run(10.0)
-    net.said.clear()
-    net.sent.clear()
+    net.logged.clear()
+    net.bytes_sent.clear()
     net.run(WATCH)
-    rate = net.sent.total() / size / WATCH
+    rate = net.bytes_sent.total() / size / WATCH
     suspected, dead = (
         len(net.events("member_suspect")),
-        {facts["name"] for *_, what, facts in net.said if what == "member_dead"},
+        {facts["name"] for *_, what, facts in net.logged if what == "member_dead"},
     )
-    net.until_agreed(names)
-    net.said.clear()
+    net.run_until_converged(names)
+    net.logged.clear()
     began = net.now
     net.kill("i3")
-    net.until_agreed(names - {"i3"})
+    net.run_until_converged(names - {"i3"})
     told = [at - began for at, _ in net.events("member_dead", "i3")]
     return min(told), max(told), suspected, len(dead), rate
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -16,14 +16,14 @@
 from pathlib import Path
 
 from seamlb.planning.words import table
-from seamlb.zones.fleet import OUT, RAMP, TRICKLE, State
-from tests.zoned import ZonedFleet
+from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, TRICKLE_S, ZoneState
+from tests.zoned import SimulatedFleet
 
 CALLS = 120.0
 
 
-def fleet(agents: int, seed: int, alone: bool, loss: float = 0.0) -> ZonedFleet:
-    found = ZonedFleet(agents, CALLS / agents, desks=8, seed=seed, loss=loss, alone=alone)
+def fleet(agents: int, seed: int, alone: bool, loss: float = 0.0) -> SimulatedFleet:
+    found = SimulatedFleet(agents, CALLS / agents, desks=8, seed=seed, loss=loss, independent=alone)
     found.run(15.0)
     return found
 
@@ -32,19 +32,19 @@
     """A zone dies or hangs: when half and all agents are out, calls lost until then, peak on the way back."""
     agents, alone, how, seed = job
     found = fleet(agents, seed, alone)
-    found.lost.clear()
-    found.down[1], began = how, found.now
-    found.until(1, State.OUT, 60.0)
+    found.lost_calls.clear()
+    found.zone_faults[1], began = how, found.now
+    found.run_until_state(1, ZoneState.OUT, 60.0)
     times = sorted(
-        next((at for at, who, what, zone in found.said if (who, what, zone) == (name, "zone_out", 1)), began + 60.0)
+        next((at for at, who, what, zone in found.logged if (who, what, zone) == (name, "zone_out", 1)), began + 60.0)
         - began
         for name in found.names
     )
-    lost = found.lost[1]
-    found.down.clear()
-    found.watched.add(1)
-    found.run(OUT + TRICKLE + RAMP + 3.0)
-    return times[len(times) // 2], times[-1 - len(times) // 100], lost, found.peak
+    lost = found.lost_calls[1]
+    found.zone_faults.clear()
+    found.peak_zones.add(1)
+    found.run(MIN_OUT_S + TRICKLE_S + RAMP_S + 3.0)
+    return times[len(times) // 2], times[-1 - len(times) // 100], lost, found.peak_load
 
 
 def false(job: tuple[int, bool, str, int]) -> int:
@@ -52,9 +52,9 @@
     agents, alone, how, seed = job
     found = fleet(agents, seed, alone, 0.3 if how == "loss" else 0.0)
     if how == "link":
-        found.cut = {("i3", 1)}
+        found.stalled_links = {("i3", 1)}
     found.run(60.0)
-    return sum(what == "zone_out" for _, _, what, _ in found.said)
+    return sum(what == "zone_out" for _, _, what, _ in found.logged)
 
 
 def main() -> None:
--- a/seamlb/extras.py
+++ b/seamlb/extras.py
@@ -136,7 +136,7 @@
             except ValueError as error:
                 raise ValueError(f"agree.{key}: {error}") from None
     keys = load_keys(folder / table.keys, "agree")
-    return read(table, folder, config.name, keys.taken, keys.send)
+    return read(table, folder, config.name, keys.accepted, keys.signing_key)
 
 
 def _local(raw: Any, folder: Path) -> PluginsTable:
--- a/seamlb/members/guard.py
+++ b/seamlb/members/guard.py
@@ -26,9 +26,9 @@
         self.dropped: Counter[str] = Counter()
         self.said: dict[str, float] = {}
         self.news: list[str] = []  # reasons that are due to be logged
-        self.rotate(keys, sends)
+        self.rotate_keys(keys, sends)
 
-    def rotate(self, keys: Mapping[int, bytes], sends: int) -> None:
+    def rotate_keys(self, keys: Mapping[int, bytes], sends: int) -> None:
         """Other keys from now on: all of them are taken, one signs."""
         if sends not in keys:
             raise ValueError(f"no key {sends} to send with")
--- a/seamlb/members/link.py
+++ b/seamlb/members/link.py
@@ -21,7 +21,7 @@
 BIND_EVERY = 0.5  # seconds between two tries to take the address over from the process before
 
 
-class MembersLink:
+class MembershipService:
     """One instance among the others; `divide` is told by how many fleet-wide limits are divided."""
 
     def __init__(
@@ -34,7 +34,7 @@
         divide: Callable[[int], None],
     ) -> None:
         self.config, self.name, self.shared, self.divide = config, name[:NAME_MOST], shared, divide
-        self.guard = Guard(keys.taken, keys.send, time.time())
+        self.guard = Guard(keys.accepted, keys.signing_key, time.time())
         self.shares = Shares(configured)
         self.divisor = configured
         self.endpoint: Endpoint | None = None
@@ -59,7 +59,7 @@
         self.swim = Swim(
             self.name, self.config.udp, self.config.seeds, int(time.time() * 1000), random.Random(), loop.time()
         )
-        self.swim.tell(self.meta)
+        self.swim.set_metadata(self.meta)
         log.event("members", name=self.name, udp=self.config.udp, seeds=len(self.config.seeds))
         while True:
             await asyncio.sleep(TICK)
@@ -92,19 +92,19 @@
 
     def _done(self, out: Out) -> None:
         assert self.swim is not None
-        for name, facts in self.swim.said:
+        for name, facts in self.swim.pending_events:
             log.event(name, **facts)
-        self.swim.said.clear()
+        self.swim.pending_events.clear()
         for address, message in out:
             if self.endpoint:
                 self.endpoint.send(self.guard.seal(message, time.time()), split_address(address))
 
-    def place(self) -> float:
+    def relative_rank(self) -> float:
         """Ours among the living, from 0 to 1."""
         living = self.swim.living() if self.swim else []
         return living.index(self.name) / len(living) if self.name in living else 0.0
 
-    def others(self) -> dict[str, str]:
+    def peer_metadata(self) -> dict[str, str]:
         """What the living others tell, by name."""
         members = self.swim.members.values() if self.swim else ()
         return {
@@ -113,15 +113,15 @@
             if one.item.status <= Status.SUSPECT
         }
 
-    def tell(self, meta: bytes) -> None:
+    def set_metadata(self, meta: bytes) -> None:
         """What the others are to know of this instance."""
         self.meta = meta
         if self.swim:
-            self.swim.tell(meta)
+            self.swim.set_metadata(meta)
 
-    def rotate(self, keys: MemberKeys) -> None:
+    def rotate_keys(self, keys: MemberKeys) -> None:
         """Other keys from now on."""
-        self.guard.rotate(keys.taken, keys.send)
+        self.guard.rotate_keys(keys.accepted, keys.signing_key)
 
     def leave(self) -> None:
         """Say that this process goes."""
--- a/seamlb/members/swim.py
+++ b/seamlb/members/swim.py
@@ -81,7 +81,7 @@
     meta_version: int = 0
     health: int = 0  # 0: well
     twin: tuple[str, float] = ("", -math.inf)  # address of another process with our name, and when it was heard of
-    said: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # log lines that are due
+    pending_events: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # log lines that are due
     left: bool = False
     probe: Probe | None = None
     ring: list[str] = field(default_factory=list)
@@ -124,7 +124,7 @@
 
     # -- what we say of ourselves -------------------------------------------------------------
 
-    def tell(self, meta: bytes) -> None:
+    def set_metadata(self, meta: bytes) -> None:
         """What the others are to know of us, META_MOST bytes at most."""
         if len(meta) > META_MOST:
             raise ValueError("more than a datagram holds")
@@ -261,7 +261,7 @@
                 for item in message.items:
                     if item.name == self.name and item.address != self.address:
                         if not self.twinned:
-                            self.said.append(("member_twin", {"address": item.address}))
+                            self.pending_events.append(("member_twin", {"address": item.address}))
                         self.twin = item.address, self.now
         return out
 
@@ -303,7 +303,7 @@
             self.incarnation = item.incarnation + 1
             self.news[self.name] = 0
             self._ail(1)
-            self.said.append(("member_refuted", {"status": item.status.name.lower()}))
+            self.pending_events.append(("member_refuted", {"status": item.status.name.lower()}))
 
     def _believe(self, item: Item) -> None:
         """Take word of another instance, if it is newer than what is known."""
@@ -337,9 +337,9 @@
         if known is None:
             self.grew = self.now
         if known is None or alive_again:
-            self.said.append(("member_joined", {"name": item.name, "address": item.address}))
+            self.pending_events.append(("member_joined", {"name": item.name, "address": item.address}))
         elif changed and item.status >= Status.SUSPECT:
-            self.said.append((f"member_{item.status.name.lower()}", {"name": item.name}))
+            self.pending_events.append((f"member_{item.status.name.lower()}", {"name": item.name}))
 
     # -- sending ------------------------------------------------------------------------------
 
--- a/seamlb/members/table.py
+++ b/seamlb/members/table.py
@@ -25,8 +25,8 @@
 class MemberKeys:
     """Keys that are taken, and the one that signs."""
 
-    taken: Mapping[int, bytes]
-    send: int
+    accepted: Mapping[int, bytes]
+    signing_key: int
 
 
 def load_keys(path: Path, table: str = "members") -> MemberKeys:
--- a/seamlb/subsystems/fleet.py
+++ b/seamlb/subsystems/fleet.py
@@ -7,7 +7,7 @@
 from seamlb import __version__, log
 from seamlb.config import Config
 from seamlb.extras import Plugins
-from seamlb.members.link import MembersLink
+from seamlb.members.link import MembershipService
 from seamlb.members.table import MemberKeys, MembersConfig
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Subsystem, Table
@@ -19,10 +19,12 @@
     TAKES = ("member_keys",)
 
     def __init__(self, config: Config, table: MembersConfig, keys: MemberKeys, agent: Agent) -> None:
-        self.link = MembersLink(
+        self.link = MembershipService(
             table, keys, config.name, config.settings.instances, config.inherited is not None, agent.share_among
         )
-        self.link.tell(f"{__version__} {config.zones[config.settings.zone] if config.zones else ''}".encode()[:32])
+        self.link.set_metadata(
+            f"{__version__} {config.zones[config.settings.zone] if config.zones else ''}".encode()[:32]
+        )
 
     def tables(self) -> Mapping[str, Table]:
         """The members, for operators."""
@@ -40,7 +42,7 @@
     def reload(self, config: Config, plugins: Plugins) -> None:
         """Take new keys."""
         if plugins.member_keys:
-            self.link.rotate(plugins.member_keys)
+            self.link.rotate_keys(plugins.member_keys)
 
     def leave(self) -> None:
         """Tell the others that this process goes."""
--- a/seamlb/subsystems/zones.py
+++ b/seamlb/subsystems/zones.py
@@ -7,11 +7,11 @@
 from seamlb import __version__, log
 from seamlb.config import Config
 from seamlb.extras import ZonesConfig
-from seamlb.members.link import MembersLink
+from seamlb.members.link import MembershipService
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Order, Subsystem, Table
 from seamlb.zones.fleet import Vote
-from seamlb.zones.overlay import Overlay
+from seamlb.zones.overlay import ZoneFilter
 
 EVERY = 0.1  # seconds between two looks at what zones do
 
@@ -19,11 +19,11 @@
 class ZonesPart(Subsystem):
     """`[zones]`; `fleet` brings the others' word, where there are others."""
 
-    def __init__(self, config: Config, table: ZonesConfig, agent: Agent, fleet: MembersLink | None) -> None:
+    def __init__(self, config: Config, table: ZonesConfig, agent: Agent, fleet: MembershipService | None) -> None:
         self.agent, self.fleet, self.names = agent, fleet, config.zones
         regions = [frozenset(config.zones.index(name) for name in one.split("+")) for one in table.regions]
         stall = min(kind.on_time for kind in config.settings.classes) / 1000.0
-        self.overlay = Overlay(
+        self.overlay = ZoneFilter(
             config.zones, config.settings.instances, table.bears, stall, regions, table.out, table.ramp
         )
         agent.seam.parts.append(self.overlay)
@@ -51,12 +51,12 @@
         others: dict[str, Vote] = {}
         divisor, place = 1, 0.0
         if self.fleet:
-            divisor, place = self.fleet.divisor, self.fleet.place()
-            others = {name: Vote.decode(meta.rpartition(" ")[2]) for name, meta in self.fleet.others().items()}
+            divisor, place = self.fleet.divisor, self.fleet.relative_rank()
+            others = {name: Vote.decode(meta.rpartition(" ")[2]) for name, meta in self.fleet.peer_metadata().items()}
         self.overlay.step(now, others, divisor, place)
         if self.fleet:
-            self.fleet.tell(f"{__version__} {self.overlay.vote(now).encode()}".encode()[:32])
-        for name, facts in self.overlay.zones.said:
+            self.fleet.set_metadata(f"{__version__} {self.overlay.vote(now).encode()}".encode()[:32])
+        for name, facts in self.overlay.zones.pending_events:
             log.event(name, **facts | {"zone": self.names[int(str(facts["zone"]))]})
-        self.overlay.zones.said.clear()
+        self.overlay.zones.pending_events.clear()
         self.agent.desks_changed()
--- a/seamlb/zones/fleet.py
+++ b/seamlb/zones/fleet.py
@@ -17,10 +17,10 @@
 from zlib import crc32
 
 HOLD = 0.5  # seconds that the votes must stand
-OUT = 15.0  # seconds out of a zone at least
+MIN_OUT_S = 15.0  # seconds out of a zone at least
 OUT_MOST = 240.0
-TRICKLE, TRICKLE_PART = 3.0, 0.02  # seconds at the start of a return with so much of what the desks bear
-RAMP = 20.0  # seconds from there to all
+TRICKLE_S, TRICKLE_PART = 3.0, 0.02  # seconds at the start of a return with so much of what the desks bear
+RAMP_S = 20.0  # seconds from there to all
 RAMP_FROM = 0.1
 SLOT = 0.5  # seconds for which a call's place in a returning zone is kept
 WINDOW = 1.5  # seconds over which a desk bears what it bears
@@ -28,7 +28,7 @@
 CALM = 300.0  # seconds in service after which an earlier failure is forgotten
 
 
-class State(StrEnum):
+class ZoneState(StrEnum):
     """Of a zone, for this agent."""
 
     IN = "in"
@@ -63,11 +63,11 @@
 class Zone:
     """One zone."""
 
-    state: State = State.IN
+    state: ZoneState = ZoneState.IN
     since: float = -math.inf
     standing: float | None = None  # since when enough votes stand
     flaps: int = 0
-    forced: State | None = None  # by an operator
+    forced: ZoneState | None = None  # by an operator
     last: bool = False  # it fails and there is no other to go to
 
 
@@ -79,35 +79,35 @@
         count: int,
         configured: int,
         regions: Sequence[frozenset[int]] = (),
-        out: float = OUT,
-        ramp: float = RAMP,
+        out: float = MIN_OUT_S,
+        ramp: float = RAMP_S,
     ) -> None:
         self.least, self.ramp = out, ramp
         self.configured = configured  # agents; one that is alone among several takes nobody's word, its own neither
         self.zones = {number: Zone() for number in range(count)}
         self.regions = regions
-        self.said: list[tuple[str, dict[str, object]]] = []  # log lines that are due
+        self.pending_events: list[tuple[str, dict[str, object]]] = []  # log lines that are due
 
     @property
     def out(self) -> int:
         """Mask of the zones that get no call now."""
-        return sum(1 << number for number, zone in self.zones.items() if zone.state is State.OUT)
+        return sum(1 << number for number, zone in self.zones.items() if zone.state is ZoneState.OUT)
 
-    def force(self, number: int, state: State | None) -> None:
+    def force(self, number: int, state: ZoneState | None) -> None:
         """An operator's word: out or in whatever the votes say; None: as they say again."""
         self.zones[number].forced = state
 
     def part(self, now: float, number: int) -> float:
         """How much of what its desks bear may go to a zone now, of the whole fleet; infinite: no bound of ours."""
         zone = self.zones.get(number)
-        if zone is None or zone.state is State.IN:
+        if zone is None or zone.state is ZoneState.IN:
             return math.inf
-        if zone.state is State.OUT:
+        if zone.state is ZoneState.OUT:
             return 0.0
         age = now - zone.since
-        if age < TRICKLE:
+        if age < TRICKLE_S:
             return TRICKLE_PART
-        return min(1.0, RAMP_FROM + (1.0 - RAMP_FROM) * (age - TRICKLE) / self.ramp)
+        return min(1.0, RAMP_FROM + (1.0 - RAMP_FROM) * (age - TRICKLE_S) / self.ramp)
 
     def step(self, now: float, own: Vote, others: Mapping[str, Vote]) -> None:
         """Take what all living agents tell as of now."""
@@ -116,7 +116,7 @@
         for number, zone in self.zones.items():
             bit = 1 << number
             # Who has left sees it no more: to those who are still there its leaving is its vote.
-            left = bit if zone.state is State.IN else 0
+            left = bit if zone.state is ZoneState.IN else 0
             sees = sum(count for one, count in votes.items() if one.sees & bit or one.out & left)
             fails = sum(count for one, count in votes.items() if one.fails & bit or one.out & left)
             gone = sum(count for one, count in theirs.items() if one.out & bit)
@@ -129,42 +129,42 @@
             if zone.forced is not None:
                 if zone.forced is not zone.state:
                     self._enter(now, number, zone.forced, "an operator")
-            elif zone.state is State.IN:
+            elif zone.state is ZoneState.IN:
                 if now - zone.since > CALM:
                     zone.flaps = 0
                 if stands or followed:
                     self._leave(now, number, f"{fails} of {sees} see it fail" if stands else f"{gone} have left")
-            elif zone.state is State.OUT:
+            elif zone.state is ZoneState.OUT:
                 if now - zone.since >= min(OUT_MOST, self.least * 2**zone.flaps):
-                    self._enter(now, number, State.RETURN, "stayed out long enough")
+                    self._enter(now, number, ZoneState.RETURN, "stayed out long enough")
             elif stands:
                 zone.flaps += 1
-                self._enter(now, number, State.OUT, f"{fails} of {sees} see it fail again")
-            elif now - zone.since >= TRICKLE + self.ramp:
-                self._enter(now, number, State.IN, "all of it again")
+                self._enter(now, number, ZoneState.OUT, f"{fails} of {sees} see it fail again")
+            elif now - zone.since >= TRICKLE_S + self.ramp:
+                self._enter(now, number, ZoneState.IN, "all of it again")
         self._regions(now)
 
     def _regions(self, now: float) -> None:
         """A region of which half the zones are out, two at least, is left whole."""
         for region in self.regions:
-            out = [number for number in region if self.zones[number].state is State.OUT]
+            out = [number for number in region if self.zones[number].state is ZoneState.OUT]
             if len(out) >= max(2, math.ceil(len(region) / 2)):
                 for number in sorted(region - set(out)):
                     if self.zones[number].forced is None:
                         self._leave(now, number, "its region is out")
 
     def _leave(self, now: float, number: int, why: str) -> None:
-        rest = [one for other, one in self.zones.items() if other != number and one.state is not State.OUT]
+        rest = [one for other, one in self.zones.items() if other != number and one.state is not ZoneState.OUT]
         if rest:
-            self._enter(now, number, State.OUT, why)
+            self._enter(now, number, ZoneState.OUT, why)
         elif not self.zones[number].last:
             self.zones[number].last = True
-            self.said.append(("zone_last", {"zone": number, "why": why}))
+            self.pending_events.append(("zone_last", {"zone": number, "why": why}))
 
-    def _enter(self, now: float, number: int, state: State, why: str) -> None:
+    def _enter(self, now: float, number: int, state: ZoneState, why: str) -> None:
         zone = self.zones[number]
         zone.state, zone.since, zone.standing = state, now, None
-        self.said.append((f"zone_{state.value}", {"zone": number, "why": why, "flaps": zone.flaps}))
+        self.pending_events.append((f"zone_{state.value}", {"zone": number, "why": why, "flaps": zone.flaps}))
 
 
 class Paces:
--- a/seamlb/zones/overlay.py
+++ b/seamlb/zones/overlay.py
@@ -14,14 +14,14 @@
 
 from seamlb.routing.model import Availability, Desk, Status
 from seamlb.routing.seam import Part
-from seamlb.zones.fleet import OUT, RAMP, Paces, State, Vote, Zones
+from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, Paces, Vote, Zones, ZoneState
 from seamlb.zones.sight import Sight
 
 FAILED = (Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
 LIVES = (Status.OK, Status.FULL, Status.ERROR)  # the desk answered
 
 
-class Overlay(Part):
+class ZoneFilter(Part):
     """One agent's: fed with its attempts and the others' votes, asked what its module is to believe."""
 
     def __init__(
@@ -31,8 +31,8 @@
         bears: float,
         stall: float,
         regions: Sequence[frozenset[int]] = (),
-        out: float = OUT,
-        ramp: float = RAMP,
+        out: float = MIN_OUT_S,
+        ramp: float = RAMP_S,
     ) -> None:
         self.names, self.bears, self.stall = names, bears, stall
         self.sight = Sight()
@@ -94,10 +94,10 @@
         zone = self.zones.zones.get(desk.zone)
         if zone is None or desk.availability != Availability.READY:
             return desk
-        if zone.state is State.OUT:
+        if zone.state is ZoneState.OUT:
             self.since.pop(desk.ident, None)
             return replace(desk, availability=Availability.DRAINING)
-        if zone.state is State.RETURN and desk.ident not in self.since:
+        if zone.state is ZoneState.RETURN and desk.ident not in self.since:
             self.since[desk.ident] = unix_ms
         desk = replace(desk, since_ms=max(desk.since_ms, self.since.get(desk.ident, 0.0)))
         part = self.zones.part(now, desk.zone)
@@ -142,7 +142,7 @@
         """`out`, `in` or `auto` for a zone by its name; False if there is no such zone or word."""
         if name not in self.names or state not in ("out", "in", "auto"):
             return False
-        self.zones.force(self.names.index(name), None if state == "auto" else State(state))
+        self.zones.force(self.names.index(name), None if state == "auto" else ZoneState(state))
         return True
 
     def table(self, now: float) -> dict[str, Any]:
--- a/tests/gossip.py
+++ b/tests/gossip.py
@@ -17,7 +17,7 @@
 EPOCH = 1_000_000.0  # Unix time of the clock's nought
 
 
-class Network:
+class VirtualNetwork:
     """Instances i0, i1, ..., each with its view; what they send goes through the wire's bytes."""
 
     def __init__(
@@ -37,8 +37,8 @@
         self.guards: dict[str, Guard] = {}
         self.cut: set[tuple[str, str]] = set()  # (from, to): nothing gets through
         self.stalled: dict[str, float] = {}  # until when an instance does nothing
-        self.sent: Counter[str] = Counter()  # bytes
-        self.said: list[tuple[float, str, str, dict[str, object]]] = []  # when, who, event, facts
+        self.bytes_sent: Counter[str] = Counter()  # bytes
+        self.logged: list[tuple[float, str, str, dict[str, object]]] = []  # when, who, event, facts
         self.due: dict[str, float] = {}
         for number in range(size):
             self.start(f"i{number}")
@@ -83,7 +83,7 @@
     def send(self, source: str, out: Out) -> None:
         for target, message in out:
             data: Any = self.guards[source].seal(message, EPOCH + self.now) if self.wire else message
-            self.sent[source] += len(data) if self.wire else 0
+            self.bytes_sent[source] += len(data) if self.wire else 0
             if (source, target) in self.cut or self.rng.random() < self.loss:
                 continue
             for _ in range(1 + (self.rng.random() < self.doubles)):
@@ -119,13 +119,13 @@
 
     def _done(self, who: str, out: Out) -> None:
         swim = self.swims[who]
-        self.said += [(self.now, swim.name, event, facts) for event, facts in swim.said]
-        swim.said.clear()
+        self.logged += [(self.now, swim.name, event, facts) for event, facts in swim.pending_events]
+        swim.pending_events.clear()
         self.send(who, out)
 
     # -- what is seen -------------------------------------------------------------------------
 
-    def agree(self, names: set[str], among: set[str] | None = None) -> bool:
+    def converged(self, names: set[str], among: set[str] | None = None) -> bool:
         """Do they all know just these as living?"""
         return all(
             set(swim.living()) == names
@@ -133,10 +133,10 @@
             if swim.name in (among if among is not None else names)
         )
 
-    def until_agreed(self, names: set[str], most: float = 120.0, among: set[str] | None = None) -> float:
+    def run_until_converged(self, names: set[str], most: float = 120.0, among: set[str] | None = None) -> float:
         """Seconds until they do; most if they don't."""
         began = self.now
-        while not self.agree(names, among) and self.now - began < most:
+        while not self.converged(names, among) and self.now - began < most:
             self.run(0.25)
         return self.now - began
 
@@ -144,7 +144,7 @@
         """When, and who said so; of one instance if it is named."""
         return [
             (at, who)
-            for at, who, what, facts in self.said
+            for at, who, what, facts in self.logged
             if what == event and (not name or facts.get("name") == name)
         ]
 
--- a/tests/test_members_wire.py
+++ b/tests/test_members_wire.py
@@ -8,7 +8,7 @@
 
 from seamlb.members.guard import Guard
 from seamlb.members.wire import MOST, SKEW, WINDOW, Datagram, DatagramError, Item, Kind, Status, decode
-from tests.gossip import KEY, Network
+from tests.gossip import KEY, VirtualNetwork
 
 
 class Wire(unittest.TestCase):
@@ -89,15 +89,15 @@
             (first, {2: both[2]}, 2),
             (second, {2: both[2]}, 2),
         ):
-            one.rotate(keys, sends)
+            one.rotate_keys(keys, sends)
             self.assertTrue(heard(first, second) and heard(second, first))
         behind = Guard(KEY, 1, 1000.0)  # left behind: told apart, not believed
         self.assertFalse(heard(first, behind))
         self.assertEqual(first.dropped["unknown key"], 1)
         with self.assertRaises(ValueError):
-            first.rotate({1: b""}, 2)
+            first.rotate_keys({1: b""}, 2)
 
     def test_no_message_is_ever_too_long(self) -> None:
-        net = Network(40)
+        net = VirtualNetwork(40)
         net.run(30.0)
         self.assertLessEqual(max(len(data) for *_, data in net.queue), MOST)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -3,10 +3,10 @@
 import unittest
 
 from seamlb.routing.model import Availability, Desk, Status
-from seamlb.zones.fleet import HOLD, OUT, RAMP, TRICKLE, State, Vote, Zones
-from seamlb.zones.overlay import Overlay
+from seamlb.zones.fleet import HOLD, MIN_OUT_S, RAMP_S, TRICKLE_S, Vote, Zones, ZoneState
+from seamlb.zones.overlay import ZoneFilter
 from seamlb.zones.sight import LOOK, WINDOW, Sight
-from tests.zoned import BEARS, ZonedFleet
+from tests.zoned import BEARS, SimulatedFleet
 
 
 class Sights(unittest.TestCase):
@@ -39,57 +39,61 @@
 
 
 class Votes(unittest.TestCase):
-    def after(self, zones: Zones, own: Vote, others: dict[str, Vote], seconds: float = 1.0, at: float = 0.0) -> State:
+    def after(
+        self, zones: Zones, own: Vote, others: dict[str, Vote], seconds: float = 1.0, at: float = 0.0
+    ) -> ZoneState:
         for step in range(int(seconds * 10) + 1):
             zones.step(at + step / 10, own, others)
         return zones.zones[0].state
 
     def test_nobody_leaves_on_one_word(self) -> None:
         bad, good, blind = Vote(3, 1), Vote(3, 0), Vote(2, 0)
-        self.assertEqual(self.after(Zones(2, 3), bad, {"b": good, "c": good}), State.IN)
-        self.assertEqual(self.after(Zones(2, 3), bad, {}), State.IN)  # cut off from the others
-        self.assertEqual(self.after(Zones(2, 1), bad, {}), State.OUT)  # there are no others
-        self.assertEqual(self.after(Zones(2, 3), bad, {"b": bad, "c": good}), State.OUT)
-        self.assertEqual(self.after(Zones(2, 5), bad, {"b": bad, "c": good, "d": good, "e": good}), State.IN)
-        self.assertEqual(self.after(Zones(2, 5), good, {"b": bad, "c": bad, "d": blind, "e": blind}), State.OUT)
-        self.assertEqual(self.after(Zones(2, 3), bad, {"b": bad, "c": bad}, HOLD / 2), State.IN)  # not long enough
+        self.assertEqual(self.after(Zones(2, 3), bad, {"b": good, "c": good}), ZoneState.IN)
+        self.assertEqual(self.after(Zones(2, 3), bad, {}), ZoneState.IN)  # cut off from the others
+        self.assertEqual(self.after(Zones(2, 1), bad, {}), ZoneState.OUT)  # there are no others
+        self.assertEqual(self.after(Zones(2, 3), bad, {"b": bad, "c": good}), ZoneState.OUT)
+        self.assertEqual(self.after(Zones(2, 5), bad, {"b": bad, "c": good, "d": good, "e": good}), ZoneState.IN)
+        self.assertEqual(self.after(Zones(2, 5), good, {"b": bad, "c": bad, "d": blind, "e": blind}), ZoneState.OUT)
+        self.assertEqual(
+            self.after(Zones(2, 3), bad, {"b": bad, "c": bad}, HOLD / 2), ZoneState.IN
+        )  # not long enough
 
     def test_who_sees_half_of_the_others_gone_follows(self) -> None:
         gone, here = Vote(2, 0, 1), Vote(2, 0, 0)
-        self.assertEqual(self.after(Zones(2, 5), here, {"b": gone, "c": gone, "d": here, "e": here}), State.OUT)
-        self.assertEqual(self.after(Zones(2, 5), here, {"b": gone, "c": here, "d": here, "e": here}), State.IN)
-        self.assertEqual(self.after(Zones(2, 2), here, {"b": gone}), State.IN)  # one agent moves nobody
+        self.assertEqual(self.after(Zones(2, 5), here, {"b": gone, "c": gone, "d": here, "e": here}), ZoneState.OUT)
+        self.assertEqual(self.after(Zones(2, 5), here, {"b": gone, "c": here, "d": here, "e": here}), ZoneState.IN)
+        self.assertEqual(self.after(Zones(2, 2), here, {"b": gone}), ZoneState.IN)  # one agent moves nobody
 
     def test_the_last_zone_stays_and_a_region_goes_whole(self) -> None:
         bad = Vote(7, 7)
         zones = Zones(3, 3)
         self.after(zones, bad, {"b": bad, "c": bad}, 5.0)
-        self.assertEqual([one.state for one in zones.zones.values()].count(State.OUT), 2)
-        self.assertEqual([what for what, _ in zones.said].count("zone_last"), 1)
+        self.assertEqual([one.state for one in zones.zones.values()].count(ZoneState.OUT), 2)
+        self.assertEqual([what for what, _ in zones.pending_events].count("zone_last"), 1)
         zones = Zones(4, 3, (frozenset({0, 1, 2}),))
         bad = Vote(15, 3)
         self.after(zones, bad, {"b": bad, "c": bad})
-        self.assertEqual([one.state for one in zones.zones.values()], [State.OUT] * 3 + [State.IN])
+        self.assertEqual([one.state for one in zones.zones.values()], [ZoneState.OUT] * 3 + [ZoneState.IN])
 
     def test_one_that_flaps_is_stayed_out_of_longer_each_time(self) -> None:
         zones, now, waits = Zones(2, 2), 0.0, []
         bad, good = Vote(3, 1), Vote(3, 0)
         for _ in range(4):
-            while zones.zones[0].state is not State.OUT:  # it fails whenever calls go there
+            while zones.zones[0].state is not ZoneState.OUT:  # it fails whenever calls go there
                 zones.step(now := now + 0.1, bad, {"b": bad})
             left = now
-            while zones.zones[0].state is State.OUT:
+            while zones.zones[0].state is ZoneState.OUT:
                 zones.step(now := now + 0.1, good, {"b": good})
-            waits.append(round((now - left) / OUT))
+            waits.append(round((now - left) / MIN_OUT_S))
         self.assertEqual(waits, [1, 2, 4, 8])
 
     def test_an_operators_word_goes_before_all(self) -> None:
         zones, bad = Zones(2, 2), Vote(3, 1)
-        zones.force(0, State.IN)
-        self.assertEqual(self.after(zones, bad, {"b": bad}), State.IN)
+        zones.force(0, ZoneState.IN)
+        self.assertEqual(self.after(zones, bad, {"b": bad}), ZoneState.IN)
         zones.force(0, None)
-        self.assertEqual(self.after(zones, bad, {"b": bad}, at=2.0), State.OUT)
-        zones.force(1, State.OUT)
+        self.assertEqual(self.after(zones, bad, {"b": bad}, at=2.0), ZoneState.OUT)
+        zones.force(1, ZoneState.OUT)
         self.after(zones, Vote(), {"b": Vote()}, at=4.0)
         self.assertEqual(zones.out, 3)
 
@@ -102,7 +106,7 @@
 
 class Overlays(unittest.TestCase):
     def test_the_module_is_told_of_a_zone_that_is_left_and_returned_to(self) -> None:
-        overlay = Overlay(("x", "y"), 1, BEARS, 1.5)
+        overlay = ZoneFilter(("x", "y"), 1, BEARS, 1.5)
         desks = [
             Desk("a", "", 0, 0, Availability.READY, 0.0),
             Desk("b", "", 1, 1, Availability.READY, 0.0),
@@ -114,11 +118,11 @@
         (told,) = overlay.changed(1.0, 1e9)
         self.assertEqual((told.ident, told.availability), ("a", Availability.DRAINING))
         overlay.force("x", "auto")
-        overlay.step(2.0 + OUT, {}, 1)
-        overlay.changed(2.0 + OUT, 2e9)
+        overlay.step(2.0 + MIN_OUT_S, {}, 1)
+        overlay.changed(2.0 + MIN_OUT_S, 2e9)
         seen = []
         for step in range(200):
-            now = 2.0 + OUT + TRICKLE + step / 10
+            now = 2.0 + MIN_OUT_S + TRICKLE_S + step / 10
             overlay.step(now, {}, 1)
             seen += overlay.changed(now, 2e9)
         self.assertTrue({one.availability for one in seen} == {Availability.READY, Availability.DRAINING})
@@ -130,7 +134,7 @@
         self.assertNotIn("a", overlay.told)
 
     def test_who_is_out_says_nothing_of_how_the_zone_is_now(self) -> None:
-        overlay = Overlay(("x", "y"), 1, BEARS, 1.5)
+        overlay = ZoneFilter(("x", "y"), 1, BEARS, 1.5)
         overlay.listed(0.0, 0.0, [Desk(f"d{n}", "", n // 2, 0, Availability.READY, 0.0) for n in range(4)], True)
         for number in range(12):
             overlay.sent(1.0, number, f"d{number % 4}")
@@ -146,7 +150,7 @@
         self.assertEqual(overlay.vote(2.5), Vote(2, 0, 1))
 
     def test_an_attempt_that_stalls_is_evidence_before_its_end_and_once(self) -> None:
-        overlay = Overlay(("x", "y"), 1, BEARS, 1.5)
+        overlay = ZoneFilter(("x", "y"), 1, BEARS, 1.5)
         overlay.listed(0.0, 0.0, [Desk("a", "", 0, 0, Availability.READY, 0.0)], True)
         overlay.sent(0.0, 7, "a")
         overlay.step(1.6, {}, 1)
@@ -155,72 +159,72 @@
 
 
 class Fleets(unittest.TestCase):
-    def fleet(self, agents: int = 8, **how: object) -> ZonedFleet:
-        fleet = ZonedFleet(agents, **how)  # type: ignore[arg-type]
+    def fleet(self, agents: int = 8, **how: object) -> SimulatedFleet:
+        fleet = SimulatedFleet(agents, **how)  # type: ignore[arg-type]
         fleet.run(8.0)
         return fleet
 
     def test_a_zone_that_dies_or_hangs_is_left_by_all_within_seconds_and_returned_to_at_its_pace(self) -> None:
         for how, within in (("dead", 5.0), ("hangs", 6.5)):
             fleet = self.fleet()
-            fleet.down[1] = how
-            self.assertLess(fleet.until(1, State.OUT, 30.0), within, how)
-            self.assertEqual((fleet.states(0), fleet.states(2)), ({State.IN}, {State.IN}))
-            fleet.down.clear()
+            fleet.zone_faults[1] = how
+            self.assertLess(fleet.run_until_state(1, ZoneState.OUT, 30.0), within, how)
+            self.assertEqual((fleet.states(0), fleet.states(2)), ({ZoneState.IN}, {ZoneState.IN}))
+            fleet.zone_faults.clear()
             fleet.run(0.2)
-            fleet.watched.add(1)
-            self.assertLess(fleet.until(1, State.IN, 90.0), OUT + TRICKLE + RAMP + 10.0)
-            self.assertLessEqual(fleet.peak, 1.0)
-            self.assertGreater(fleet.peak, 0.1)
+            fleet.peak_zones.add(1)
+            self.assertLess(fleet.run_until_state(1, ZoneState.IN, 90.0), MIN_OUT_S + TRICKLE_S + RAMP_S + 10.0)
+            self.assertLessEqual(fleet.peak_load, 1.0)
+            self.assertGreater(fleet.peak_load, 0.1)
 
     def test_one_agents_stalled_link_moves_nobody(self) -> None:
         fleet = self.fleet()
-        fleet.cut = {("i3", 1)}
+        fleet.stalled_links = {("i3", 1)}
         fleet.run(40.0)
-        self.assertEqual([fleet.states(zone) for zone in range(3)], [{State.IN}] * 3)
-        fleet.cut = {("i3", zone) for zone in range(3)}
+        self.assertEqual([fleet.states(zone) for zone in range(3)], [{ZoneState.IN}] * 3)
+        fleet.stalled_links = {("i3", zone) for zone in range(3)}
         fleet.run(30.0)
-        self.assertEqual([fleet.states(zone) for zone in range(3)], [{State.IN}] * 3)
+        self.assertEqual([fleet.states(zone) for zone in range(3)], [{ZoneState.IN}] * 3)
 
     def test_no_false_leaving_at_thirty_per_cent_loss_between_agents(self) -> None:
         fleet = self.fleet(10, loss=0.3)
         fleet.run(60.0)
-        self.assertEqual([one for one in fleet.said if one[2] == "zone_out"], [])
-        fleet.down[2] = "dead"
-        self.assertLess(fleet.until(2, State.OUT, 30.0), 10.0)
+        self.assertEqual([one for one in fleet.logged if one[2] == "zone_out"], [])
+        fleet.zone_faults[2] = "dead"
+        self.assertLess(fleet.run_until_state(2, ZoneState.OUT, 30.0), 10.0)
 
     def test_a_partition_and_deaths_while_leaving_and_while_returning(self) -> None:
         fleet = self.fleet(9)
         left = {f"i{n}" for n in range(4)}
         fleet.net.partition(left, set(fleet.names) - left)
-        fleet.down[0] = "dead"
+        fleet.zone_faults[0] = "dead"
         fleet.run(0.5)
         fleet.net.kill("i8")
-        self.assertLess(fleet.until(0, State.OUT, 30.0), 12.0)  # each side has votes enough of its own
+        self.assertLess(fleet.run_until_state(0, ZoneState.OUT, 30.0), 12.0)  # each side has votes enough of its own
         fleet.net.partition()
-        fleet.down.clear()
-        fleet.watched.add(0)
-        while State.RETURN not in fleet.states(0):
+        fleet.zone_faults.clear()
+        fleet.peak_zones.add(0)
+        while ZoneState.RETURN not in fleet.states(0):
             fleet.run(0.5)
         for name in ("i1", "i2"):
             fleet.net.kill(name)
-        self.assertLess(fleet.until(0, State.IN, 120.0), 90.0)
-        self.assertLessEqual(fleet.peak, 1.0)
+        self.assertLess(fleet.run_until_state(0, ZoneState.IN, 120.0), 90.0)
+        self.assertLessEqual(fleet.peak_load, 1.0)
 
     def test_a_zone_that_fails_again_on_the_way_back_is_left_again(self) -> None:
         fleet = self.fleet()
-        fleet.down[1] = "dead"
-        fleet.until(1, State.OUT, 30.0)
-        fleet.run(OUT + TRICKLE + 6.0)
+        fleet.zone_faults[1] = "dead"
+        fleet.run_until_state(1, ZoneState.OUT, 30.0)
+        fleet.run(MIN_OUT_S + TRICKLE_S + 6.0)
         fleet.run(20.0)
-        outs = [one for one in fleet.said if one[2] == "zone_out" and one[3] == 1]
+        outs = [one for one in fleet.logged if one[2] == "zone_out" and one[3] == 1]
         self.assertGreater(len(outs), len(fleet.names))  # left anew
-        self.assertEqual(fleet.states(1), {State.OUT})
-        self.assertEqual(fleet.states(0) | fleet.states(2), {State.IN})
+        self.assertEqual(fleet.states(1), {ZoneState.OUT})
+        self.assertEqual(fleet.states(0) | fleet.states(2), {ZoneState.IN})
 
     def test_a_whole_region(self) -> None:
         fleet = self.fleet(8, zones=4, regions=(frozenset({0, 1, 2}),))
-        fleet.down = {0: "dead", 1: "hangs"}
+        fleet.zone_faults = {0: "dead", 1: "hangs"}
         for zone in range(3):
-            self.assertLess(fleet.until(zone, State.OUT, 30.0), 10.0)
-        self.assertEqual(fleet.states(3), {State.IN})
+            self.assertLess(fleet.run_until_state(zone, ZoneState.OUT, 30.0), 10.0)
+        self.assertEqual(fleet.states(3), {ZoneState.IN})
--- a/tests/zoned.py
+++ b/tests/zoned.py
@@ -9,9 +9,9 @@
 
 from seamlb.members.shares import Shares
 from seamlb.routing.model import Availability, Desk, Status
-from seamlb.zones.fleet import State, Vote
-from seamlb.zones.overlay import Overlay
-from tests.gossip import Network
+from seamlb.zones.fleet import Vote, ZoneState
+from seamlb.zones.overlay import ZoneFilter
+from tests.gossip import VirtualNetwork
 
 BEARS = 10.0  # calls a second a desk
 STALL = 1.5
@@ -19,7 +19,7 @@
 WINDOW = 1.5
 
 
-class ZonedFleet:
+class SimulatedFleet:
     """Agents that send to any desk that they are told is ready; no module decides here."""
 
     def __init__(
@@ -30,32 +30,34 @@
         desks: int = 4,
         seed: int = 1,
         loss: float = 0.0,
-        alone: bool = False,
+        independent: bool = False,
         regions: tuple[frozenset[int], ...] = (),
     ) -> None:
         self.rng = random.Random(seed)
         self.names = [f"i{n}" for n in range(agents)]
-        self.net = Network(agents, seed=seed, loss=loss, wire=False)
-        self.alone = alone  # the plain way: each agent on its own word
+        self.net = VirtualNetwork(agents, seed=seed, loss=loss, wire=False)
+        self.independent = independent  # the plain way: each agent on its own word
         self.rate = rate  # calls a second of each agent
         self.desks = [
             Desk(f"d{z}.{n}", "", z, z, Availability.READY, 0.0) for z in range(zones) for n in range(desks)
         ]
         labels = [f"z{n}" for n in range(zones)]
-        self.overlays = {name: Overlay(labels, 1 if alone else agents, BEARS, STALL, regions) for name in self.names}
+        self.overlays = {
+            name: ZoneFilter(labels, 1 if independent else agents, BEARS, STALL, regions) for name in self.names
+        }
         self.shares = {name: Shares(agents) for name in self.names}
         self.ready: dict[str, dict[str, Desk]] = {}
         for name, one in self.overlays.items():
             self.ready[name] = {desk.ident: desk for desk in one.listed(0.0, 0.0, self.desks, True)}
-        self.down: dict[int, str] = {}  # zone: "dead" (no connection comes up) or "hangs" (nothing comes back)
-        self.cut: set[tuple[str, int]] = set()  # agent's link to a zone that stalls
+        self.zone_faults: dict[int, str] = {}  # zone: "dead" (no connection comes up) or "hangs" (nothing comes back)
+        self.stalled_links: set[tuple[str, int]] = set()  # agent's link to a zone that stalls
         self.ends: list[tuple[float, int, str, int, Status]] = []
         self.order = itertools.count()
         self.arrivals: dict[str, deque[float]] = {desk.ident: deque() for desk in self.desks}
-        self.peak = 0.0  # of a returning desk's arrivals over what it bears, in any WINDOW
-        self.watched: set[int] = set()  # zones whose peaks are counted
-        self.lost: Counter[int] = Counter()  # calls by zone that came to nothing
-        self.said: list[tuple[float, str, str, int]] = []  # when, who, event, zone
+        self.peak_load = 0.0  # of a returning desk's arrivals over what it bears, in any WINDOW
+        self.peak_zones: set[int] = set()  # zones whose peaks are counted
+        self.lost_calls: Counter[int] = Counter()  # calls by zone that came to nothing
+        self.logged: list[tuple[float, str, str, int]] = []  # when, who, event, zone
 
     @property
     def now(self) -> float:
@@ -76,7 +78,7 @@
         overlay, swim, now = self.overlays[name], self.net.of(name), self.now
         others = (
             {}
-            if self.alone
+            if self.independent
             else {
                 other: Vote.decode(one.item.meta.decode())
                 for other, one in swim.members.items()
@@ -84,12 +86,12 @@
             }
         )
         living = swim.living()
-        place = 0.0 if self.alone else living.index(name) / len(living)
-        overlay.step(now, others, 1 if self.alone else self.shares[name].told(now, len(living)), place)
-        if not self.alone:
-            swim.tell(overlay.vote(now).encode().encode())
-        self.said += [(now, name, what, int(str(facts["zone"]))) for what, facts in overlay.zones.said]
-        overlay.zones.said.clear()
+        place = 0.0 if self.independent else living.index(name) / len(living)
+        overlay.step(now, others, 1 if self.independent else self.shares[name].told(now, len(living)), place)
+        if not self.independent:
+            swim.set_metadata(overlay.vote(now).encode().encode())
+        self.logged += [(now, name, what, int(str(facts["zone"]))) for what, facts in overlay.zones.pending_events]
+        overlay.zones.pending_events.clear()
         self._tell(name)
         for _ in range(self._poisson(self.rate * STEP)):
             ready = [one for one in self.ready[name].values() if one.availability == Availability.READY]
@@ -110,20 +112,20 @@
         number = next(self.order)
         self.overlays[name].sent(self.now, number, desk.ident)
         self._tell(name)
-        how = "hangs" if (name, desk.zone) in self.cut else self.down.get(desk.zone, "")
+        how = "hangs" if (name, desk.zone) in self.stalled_links else self.zone_faults.get(desk.zone, "")
         after, status = {"": (0.05, Status.OK), "dead": (0.5, Status.CONNECT_FAILED), "hangs": (6.0, Status.TIMEOUT)}[
             how
         ]
         heapq.heappush(self.ends, (self.now + after, number, name, desk.zone, status))
-        self.lost[desk.zone] += how != ""
+        self.lost_calls[desk.zone] += how != ""
         came = self.arrivals[desk.ident]
         came.append(self.now)
         while came[0] < self.now - WINDOW:
             came.popleft()
-        if desk.zone in self.watched:
-            self.peak = max(self.peak, len(came) / (BEARS * WINDOW))
+        if desk.zone in self.peak_zones:
+            self.peak_load = max(self.peak_load, len(came) / (BEARS * WINDOW))
 
-    def states(self, zone: int) -> set[State]:
+    def states(self, zone: int) -> set[ZoneState]:
         """In which the agents that live have it."""
         return {
             self.overlays[name].zones.zones[zone].state
@@ -131,7 +133,7 @@
             if self.net.address(name) in self.net.swims
         }
 
-    def until(self, zone: int, state: State, most: float) -> float:
+    def run_until_state(self, zone: int, state: ZoneState, most: float) -> float:
         """Seconds until all have it so; most if not."""
         began = self.now
         while self.states(zone) != {state} and self.now - began < most:
