--- a/seamlb/agree/link.py
+++ b/seamlb/agree/link.py
@@ -63,7 +63,7 @@
             await asyncio.sleep(step)  # the process before this one has it; until it ends this one acts alone
         while self.config.listen and not self.listener.port:
             try:
-                self.listener.start_at(self.config.listen)
+                self.listener.bind_and_listen(self.config.listen)
             except OSError as error:
                 log.event("agree_wait", address=self.config.listen, error=error.strerror)
                 await asyncio.sleep(max(step, 0.5))
@@ -173,9 +173,9 @@
             except FrameError as error:
                 log.event("malformed", kind="agree", peer=connection.peer, error=str(error))
                 return connection.close(CloseReason.MALFORMED)
-            connection.took(messages, reader.partial)
+            connection.messages_read(messages, reader.partial)
             if messages:
-                self.listener.used(connection)
+                self.listener.mark_used(connection)
 
         await connection.run(received)
 
@@ -201,7 +201,7 @@
     def close(self) -> None:
         """End all connections and let go of the folder."""
         self.listener.stop()
-        for connection in {*self.listener.open, *self.dialled.values()}:
+        for connection in {*self.listener.connections, *self.dialled.values()}:
             connection.close(CloseReason.SHUTDOWN)
         for task in self.tasks:
             task.cancel()
--- a/seamlb/cli.py
+++ b/seamlb/cli.py
@@ -12,7 +12,7 @@
 
 from seamlb import __version__, config, extras, log
 from seamlb.daemon import Daemon
-from seamlb.net.address import not_listening
+from seamlb.net.address import listen_socket_error
 
 CONFIG = click.option(
     "--config",
@@ -123,7 +123,7 @@
 ) -> None:
     """Serve calls until SIGTERM."""
     inherited = inherited_fd
-    if inherited is not None and (wrong := not_listening(inherited)):
+    if inherited is not None and (wrong := listen_socket_error(inherited)):
         log.event("not_inherited", descriptor=inherited, error=wrong)  # the address is bound instead
         inherited = None
     build = _daemon(path, plugins, config.Told(listen, name, management, inherited, measures))
--- a/seamlb/daemon.py
+++ b/seamlb/daemon.py
@@ -58,8 +58,8 @@
             advisor=rules.service.advisor if rules else None,
         )
         self.agent.leaving = lambda: not self.lifecycle.takes(asyncio.get_running_loop().time())
-        self.sockets = descriptors.available(config.sockets)
-        self.operators = descriptors.for_operators(self.sockets, management.MOST)
+        self.sockets = descriptors.descriptor_limit(config.sockets)
+        self.operators = descriptors.max_management_connections(self.sockets, management.MAX_CONNECTIONS)
         self.front = PlatformFront(self.agent, self.lifecycle, config.listen, self._client_limit())
         self.peers = PeerLink(config, self.agent) if config.peer_listen and settings.limits.peers else None
         self.parts: list[Subsystem] = [self.peers] if self.peers else []
@@ -85,7 +85,7 @@
                 settings.fields,
                 config.connect_timeout,
                 self.agent.sampled,
-                self.front.stray,
+                self.front.release_unknown_call,
                 self.agent.counters.relay,
             )
         )
@@ -97,7 +97,7 @@
 
     def _client_limit(self) -> int:
         """Connections that callers may hold beside those to the servers of the list."""
-        return descriptors.for_clients(self.sockets, len(self.agent.listed), self.operators)
+        return descriptors.max_caller_connections(self.sockets, len(self.agent.listed), self.operators)
 
     def _every(self, seconds: float, where: str, step: Callable[[], None]) -> None:
         """Do something again and again while the daemon runs; a fault in it is logged and must not end the calls."""
@@ -133,7 +133,7 @@
         if self.sip_desks and self.plugins.desks:
             await self.sip_desks.endpoint.listen(self.plugins.desks.udp, self.plugins.desks.tcp)
         if config.known:
-            self.board.known(config.known)
+            self.board.apply(config.known)
         loop = asyncio.get_running_loop()
         if config.management:
             self.management.start()
@@ -150,7 +150,7 @@
                 async with asyncio.timeout(KNOW):
                     await self.board.caught_up.wait()
                     if self.platform_desks:
-                        await self.platform_desks.known()
+                        await self.platform_desks.wait_for_states()
             self.front.start(config.inherited)
         bound = {name.lower(): address for name, address in self.sip.endpoint.addresses.items()} if self.sip else {}
         if config.listen:
@@ -208,7 +208,7 @@
             for one in fields(new)
             if one.name not in taken and getattr(new, one.name) != getattr(old, one.name)
         ]
-        self.board.move(config.board)
+        self.board.set_address(config.board)
         waits += self._retune(config)
         for part in self.parts:
             part.reload(config, plugins)
@@ -225,7 +225,7 @@
         self.agent.retune(config.settings.following(self.agent.settings, *self.agent.numbers_in_use()))
         self.agent.max_open = config.max_open
         if self.platform_desks:
-            self.platform_desks.owner.connect_timeout = config.connect_timeout
+            self.platform_desks.context.connect_timeout = config.connect_timeout
         self.lifecycle.longest = self.agent.settings.longest_deadline / 1000.0
         self.config = replace(self.config, **{name: getattr(config, name) for name in SETTINGS})
         log.event("settings", classes=sorted(config.settings.class_ids), attempts=config.settings.limits.attempts_cap)
--- a/seamlb/desks/keeper.py
+++ b/seamlb/desks/keeper.py
@@ -72,7 +72,7 @@
     def _make_room(self) -> bool:
         """Close a connection without set-ups; False if each has some, as their time-outs will make room."""
         useless = (one for one in self.link.open if not self.link.legs.unanswered(one))
-        spare = next((one for one in useless if not (one.in_use() or one.unread())), None)
+        spare = next((one for one in useless if not (one.in_use() or one.has_unread_data())), None)
         if spare is None:
             return False
         spare.close(CloseReason.SILENT)
@@ -141,7 +141,7 @@
         elif self.lost_at is None:
             self.lost_at = heard + 0.5 if now - heard > QUIET else now  # lost somewhere in that quiet
         for connection in self.link.open[:]:
-            if now - connection.last_read <= SUSPECT or connection.unread():
+            if now - connection.last_read <= SUSPECT or connection.has_unread_data():
                 continue
             # Silent too: the machine is gone or cut off, or hangs, or its set-ups would wait for their time-outs.
             if not quiet or self.link.legs.unanswered(connection):
--- a/seamlb/desks/link.py
+++ b/seamlb/desks/link.py
@@ -105,7 +105,7 @@
                 self.release(leg.attempt, CUT)  # it may still live, and hold a line
             self.legs.end(leg, Outcome(Status.RESET, cause=CUT))
         for connection in self.open[:]:
-            connection.finish(CloseReason.REPLACED)
+            connection.flush_and_close(CloseReason.REPLACED)
 
     def fail_waiting(self) -> None:
         """Set-ups that wait for a connection end as never run."""
@@ -176,5 +176,5 @@
         Guards the set-ups on it, which would wait for their time-outs while the server answers on another one.
         """
         for connection in self.open[:]:
-            if connection.last_read < told - DEAF and not (connection.in_use() or connection.unread()):
+            if connection.last_read < told - DEAF and not (connection.in_use() or connection.has_unread_data()):
                 connection.close(CloseReason.SILENT)
--- a/seamlb/desks/platform.py
+++ b/seamlb/desks/platform.py
@@ -32,8 +32,8 @@
         self.fields = fields
         self.sampled = sampled
         self.stray = stray  # the release of a call that this process never knew; to be called back once it is told
-        self.owner = LinkOwner(connect_timeout, relayed, self._message, self._salvaged)
-        self.legs, self.tasks = self.owner.legs, self.owner.tasks
+        self.context = LinkOwner(connect_timeout, relayed, self._message, self._salvaged)
+        self.legs, self.tasks = self.context.legs, self.context.tasks
         self.links: dict[str, Link] = {}
 
     # -- asked by the core --------------------------------------------------------------------
@@ -48,7 +48,7 @@
         if desk.availability == Availability.GONE:
             return
         if link is None:
-            link = self.links[desk.ident] = Link(desk, self.owner)
+            link = self.links[desk.ident] = Link(desk, self.context)
         elif desk.since_ms != link.desk.since_ms:
             link.cut_standing()  # its process is a new one: what stood at the old one is cut
         link.desk = desk
@@ -85,21 +85,21 @@
         if link := self.links.get(desk):
             link.free_idle(CloseReason.IDLE)
 
-    async def known(self) -> None:
+    async def wait_for_states(self) -> None:
         """Wait until each listed server has told its state or turned out to be out of reach."""
         while not all(link.tells or link.dead for link in self.links.values()):
             await asyncio.sleep(0.02)
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Has a server sent bytes that were not read yet? A release may be among them, and is sent once."""
-        return any(connection.unread() for link in self.links.values() for connection in link.open)
+        return any(connection.has_unread_data() for link in self.links.values() for connection in link.open)
 
     def close(self) -> None:
         """End all connections; may be called again."""
-        self.owner.closing = True
+        self.context.closing = True
         for link in list(self.links.values()):
             for connection in link.open[:]:
-                connection.finish(CloseReason.SHUTDOWN)
+                connection.flush_and_close(CloseReason.SHUTDOWN)
         for task in self.tasks:
             task.cancel()
 
--- a/seamlb/desks/reader.py
+++ b/seamlb/desks/reader.py
@@ -50,7 +50,7 @@
 
     def _received(self, data: bytes) -> None:
         whole = self.framer.take(data, self._message, self._malformed)
-        self.connection.took(whole, bool(self.framer.data))
+        self.connection.messages_read(whole, bool(self.framer.data))
 
     def _message(self, message: Message) -> None:
         if not self.connection.closed:
@@ -68,7 +68,7 @@
         """The connection is of no use any more; what stands there may yet be released on it."""
         if self.owner.has_standing():
             self.connection.residue = self._salvage
-            self.connection.refuse(reason)
+            self.connection.lingering_close(reason)
             self.owner.lost(self.connection)
             self._salvage(left)
         else:
--- a/seamlb/discovery/board.py
+++ b/seamlb/discovery/board.py
@@ -25,10 +25,10 @@
 class Board:
     """Follows the list of desks by long polls on one connection."""
 
-    def __init__(self, address: str, zones: Sequence[str], changed: Changed, at_once: bool = False) -> None:
+    def __init__(self, address: str, zones: Sequence[str], changed: Changed, skip_first_wait: bool = False) -> None:
         self.address = address
         self.caught_up = asyncio.Event()  # the board has answered once: nothing older is unknown
-        self.at_once = at_once  # have the first answer without a wait
+        self.skip_first_wait = skip_first_wait  # have the first answer without a wait
         self.zones = {name: place for place, name in enumerate(zones)}
         self.changed = changed
         self.rev = 0
@@ -38,7 +38,7 @@
         self.told = False
         self.moved = asyncio.Event()
 
-    def known(self, raw: Mapping[str, Any]) -> None:
+    def apply(self, raw: Mapping[str, Any]) -> None:
         """Take a list of notices, the configuration's or the board's; those known already are skipped.
 
         A board whose numbers went back has begun anew, and would never tell what we wait for: it is asked for
@@ -87,7 +87,7 @@
         self.changed(Scope.CACHED if first else Scope.FULL if notice.complete else Scope.DELTA, desks)
         log.event("list", rev=notice.rev, complete=notice.complete, desks=len(desks))
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Follow the board at another address from now on; the numbers of the events continue."""
         if address != self.address:
             self.address = address
@@ -117,13 +117,13 @@
                 await asyncio.sleep(pause)
                 pause = min(max(2 * pause, RETRY_FIRST), RETRY_MOST)
                 self._believe()
-                linger = 0 if self.at_once and not self.caught_up.is_set() else int(LINGER * 1000)
+                linger = 0 if self.skip_first_wait and not self.caught_up.is_set() else int(LINGER * 1000)
                 path = f"/board/poll?watch={self.rev}&linger={linger}"
                 try:
                     answer = await poller.get(path, LINGER + SILENCE)
                     if answer.status != 200:
                         raise NoticeError(f"status {answer.status}")
-                    self.known(orjson.loads(answer.body))
+                    self.apply(orjson.loads(answer.body))
                     self.caught_up.set()
                 except PollError:
                     continue
--- a/seamlb/drain.py
+++ b/seamlb/drain.py
@@ -29,20 +29,20 @@
         servers: PlatformDesks | None,
     ) -> None:
         self.lifecycle, self.agent, self.front, self.sip, self.servers = lifecycle, agent, front, sip, servers
-        front.gone = self._leave_servers
+        front.on_disconnect = self._leave_servers
 
     def tend(self) -> None:
         """Have the fronts do what the lifecycle says now."""
         now = asyncio.get_running_loop().time()
         if self.sip:
-            self.sip.tend(now)
+            self.sip.apply_lifecycle(now)
         if self.lifecycle.phase is not Phase.DRAINING or not self._callers_are_owed():
-            self.front.tend(now)
+            self.front.apply_lifecycle(now)
         self._leave_servers()
 
     def _callers_are_owed(self) -> bool:
         """Has a server sent or said something that callers have to be told before their connections go?"""
-        return self.agent.has_untold() or (self.servers is not None and self.servers.unread())
+        return self.agent.has_untold() or (self.servers is not None and self.servers.has_unread_data())
 
     def _leave_servers(self) -> None:
         """In a drain, end the connections to servers in one step with the last caller's that reads.
@@ -52,7 +52,7 @@
         """
         draining = self.lifecycle.phase is Phase.DRAINING and not self.agent.unanswered
         now = asyncio.get_running_loop().time()
-        if self.servers and draining and self.lifecycle.over(now, 0, self.front.reachable()):
+        if self.servers and draining and self.lifecycle.over(now, 0, self.front.reachable_connections()):
             self.servers.close()
 
     async def run(self) -> None:
--- a/seamlb/fronts/management.py
+++ b/seamlb/fronts/management.py
@@ -15,17 +15,19 @@
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.http import HttpError, Request, RequestReader, answer
 
-MOST = 32  # connections at a time; with more the one that has waited longest without a whole call goes
+MAX_CONNECTIONS = 32  # connections at a time; with more the one that has waited longest without a whole call goes
 CALL_WITHIN = 5.0  # seconds from accept for a whole call
 
 
 Call = Callable[[Request], bytes]
 
 
-class Calls:
+class HttpServer:
     """Listens on an address for calls: by path their method, and what answers them."""
 
-    def __init__(self, kind: str, address: str, calls: Mapping[str, tuple[str, Call]], most: int = MOST) -> None:
+    def __init__(
+        self, kind: str, address: str, calls: Mapping[str, tuple[str, Call]], most: int = MAX_CONNECTIONS
+    ) -> None:
         self.kind = kind
         self.address = address
         self.calls = dict(calls)
@@ -33,13 +35,13 @@
 
     def start(self) -> None:
         """Listen."""
-        self.listener.start_at(self.address)
+        self.listener.bind_and_listen(self.address)
 
     def close(self) -> None:
         """Stop listening and end what is open."""
         self.listener.stop()
-        for connection in list(self.listener.open):
-            connection.finish(CloseReason.SHUTDOWN)
+        for connection in list(self.listener.connections):
+            connection.flush_and_close(CloseReason.SHUTDOWN)
 
     async def _serve(self, connection: Connection) -> None:
         reader = RequestReader()
@@ -51,23 +53,23 @@
                 told = self._answer(request) if request else b""
             except HttpError as error:
                 log.event("malformed", kind=self.kind, peer=connection.peer, error=str(error))
-                told = text(error.status, error=str(error))
+                told = json_response(error.status, error=str(error))
             if told:
                 connection.send(told)
-                connection.refuse(CloseReason.ANSWERED)  # a plain close would break off what still comes
+                connection.lingering_close(CloseReason.ANSWERED)  # a plain close would break off what still comes
 
         await connection.run(received)
 
     def _answer(self, request: Request) -> bytes:
         method, call = self.calls.get(request.path, ("", None))
         if call is None:
-            return text(404, error="unknown path")
+            return json_response(404, error="unknown path")
         if request.method != method:
             return answer(405, b"", ("Allow", method))
         return call(request)
 
 
-class ManagementFront(Calls):
+class ManagementFront(HttpServer):
     """The second address of an agent; `more`: figures that were switched on, `orders`: what may be asked, by path."""
 
     def __init__(
@@ -77,7 +79,7 @@
         figures: Callable[[], Mapping[str, Any]],
         more: Mapping[str, Callable[[], Mapping[str, Any]]] | None = None,
         orders: Mapping[str, Callable[[str], str]] | None = None,
-        most: int = MOST,
+        most: int = MAX_CONNECTIONS,
     ) -> None:
         super().__init__(
             "management",
@@ -97,7 +99,7 @@
             self.calls[path] = ("POST", _ordering(path, done))
 
     def _health(self, request: Request) -> bytes:
-        return text(200 if self.lifecycle.ready else 503, phase=self.lifecycle.phase)
+        return json_response(200 if self.lifecycle.ready else 503, phase=self.lifecycle.phase)
 
     def _quiesce(self, request: Request) -> bytes:
         return self._told("quiesce", self.lifecycle.quiesce(asyncio.get_running_loop().time()))
@@ -107,12 +109,12 @@
 
     def _told(self, call: str, done: bool) -> bytes:
         log.event("operator", call=call, done=done, phase=self.lifecycle.phase)
-        return text(200 if done else 409, phase=self.lifecycle.phase)
+        return json_response(200 if done else 409, phase=self.lifecycle.phase)
 
 
 def _showing(figures: Callable[[], Mapping[str, Any]]) -> Call:
     """A call that answers with these figures."""
-    return lambda request: text(200, **figures())
+    return lambda request: json_response(200, **figures())
 
 
 def _ordering(path: str, done: Callable[[str], str]) -> Call:
@@ -122,11 +124,11 @@
         asked = request.body.decode("utf-8", "replace")
         why = done(asked)
         log.event("operator", call=path, asked=asked[:80], done=not why)
-        return text(409, asked=asked[:80], error=why) if why else text(200, asked=asked[:80])
+        return json_response(409, asked=asked[:80], error=why) if why else json_response(200, asked=asked[:80])
 
     return call
 
 
-def text(status: int, **facts: Any) -> bytes:
+def json_response(status: int, **facts: Any) -> bytes:
     """An answer with a JSON object."""
     return answer(status, orjson.dumps(facts, option=orjson.OPT_APPEND_NEWLINE))
--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -42,17 +42,17 @@
         self.releases = ReleaseQueue()
         self.receivers: dict[Connection, Receiver] = {}
         self.lag: Lag | None = None
-        self.gone: Callable[[], None] = lambda: None  # told when a caller's connection has ended
+        self.on_disconnect: Callable[[], None] = lambda: None  # told when a caller's connection has ended
 
     def start(self, descriptor: int | None = None) -> None:
         """Listen on our address, or on the socket that was handed down."""
         if descriptor is None:
-            self.listener.start_at(self.address)
+            self.listener.bind_and_listen(self.address)
         else:
-            self.listener.start_on(descriptor)
+            self.listener.listen_on_descriptor(descriptor)
         self.lag = Lag()
 
-    def tend(self, now: float) -> None:
+    def apply_lifecycle(self, now: float) -> None:
         """Do what the lifecycle says of the listener and of connections without an open set-up."""
         if not self.lifecycle.listens(now):
             self.listener.stop()
@@ -66,7 +66,7 @@
             if not client.framer.data and client.connection.quiet(least):
                 client.connection.close(CloseReason.QUIESCED)
 
-    def reachable(self) -> int:
+    def reachable_connections(self) -> int:
         """Callers' connections that can still be told something, whose callers are not known to leave it unread."""
         return sum(not client.connection.closed and client.receiver.confirmed for client in self.clients)
 
@@ -76,7 +76,7 @@
         if self.lag:
             self.lag.stop()
         for client in list(self.clients):
-            client.connection.finish(CloseReason.SHUTDOWN)
+            client.connection.flush_and_close(CloseReason.SHUTDOWN)
 
     def release(self, ident: str, cause: int, first: Client | None = None) -> None:
         """Tell callers that a call is over: on its connection, another one, or the next that asks."""
@@ -84,7 +84,7 @@
         if first is None or not first.receiver.tell(release):
             self._queue(release)
 
-    def stray(self, ident: str, cause: int, told: Callable[[], object]) -> None:
+    def release_unknown_call(self, ident: str, cause: int, told: Callable[[], object]) -> None:
         """Tell callers that a call of an earlier process is over; `told` is called once they are."""
         self._queue(Release.of(ident, cause, told))
 
@@ -100,7 +100,7 @@
 
         A process that ends has no better ones to wait for.
         """
-        receivers = (self.receivers.get(one) for one in reversed(self.listener.open))
+        receivers = (self.receivers.get(one) for one in reversed(self.listener.connections))
         ends = self.lifecycle.phase in (Phase.DRAINING, Phase.ENDED)
         self.releases.flush((one for one in receivers if one is not None), at_once=ends)
 
@@ -114,9 +114,9 @@
             whole = client.framer.take(
                 data, lambda message: self._request(client, message), lambda error: self._malformed(client, error)
             )
-            connection.took(whole, bool(client.framer.data))
+            connection.messages_read(whole, bool(client.framer.data))
             if whole and not connection.closed:
-                self.listener.used(connection)
+                self.listener.mark_used(connection)
                 self.flush()
 
         try:
@@ -133,7 +133,7 @@
         self.receivers.pop(client.connection, None)
         for release in client.receiver.crossed():
             self._queue(release)
-        self.gone()
+        self.on_disconnect()
 
     def _malformed(self, client: Client, error: SipError) -> None:
         log.event("malformed", kind="client", peer=client.connection.peer, error=str(error))
@@ -141,7 +141,7 @@
         if request:
             client.connection.send(response(request, error.status).encode())
         if error.lost or not request:  # who can't be told anything else is told by the end
-            client.connection.refuse(CloseReason.MALFORMED)
+            client.connection.lingering_close(CloseReason.MALFORMED)
             self._gone(client)
 
     def _request(self, client: Client, message: Message) -> None:
--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -162,7 +162,7 @@
         await self.endpoint.listen(self.config.udp, self.config.tcp)
         self.lag = Lag()
 
-    def tend(self, now: float) -> None:
+    def apply_lifecycle(self, now: float) -> None:
         """Do what the lifecycle says of the listener; its callers' connections end with the process."""
         if not self.lifecycle.listens(now):
             self.endpoint.stop_listening()
--- a/seamlb/members/link.py
+++ b/seamlb/members/link.py
@@ -15,7 +15,7 @@
 from seamlb.members.table import MemberKeys, MembersConfig
 from seamlb.members.wire import NAME_MOST, Status
 from seamlb.net.address import split_address
-from seamlb.net.datagram import Endpoint
+from seamlb.net.datagram import DatagramEndpoint
 
 TICK = 0.1  # seconds
 BIND_EVERY = 0.5  # seconds between two tries to take the address over from the process before
@@ -37,14 +37,14 @@
         self.guard = Guard(keys.accepted, keys.signing_key, time.time())
         self.shares = Shares(configured)
         self.divisor = configured
-        self.endpoint: Endpoint | None = None
+        self.endpoint: DatagramEndpoint | None = None
         self.swim: Swim | None = None
         self.meta = b""
 
     async def start(self) -> bool:
         """Bind; False if the process before this one has the address, and the name, until it ends."""
         try:
-            self.endpoint = await Endpoint.bind(self.config.udp, "members", self._received)
+            self.endpoint = await DatagramEndpoint.bind(self.config.udp, "members", self._received)
         except OSError:
             if not self.shared:
                 raise
--- a/seamlb/net/address.py
+++ b/seamlb/net/address.py
@@ -13,12 +13,12 @@
     return host.strip("[]"), int(port)
 
 
-def family(host: str) -> socket.AddressFamily:
+def address_family(host: str) -> socket.AddressFamily:
     """The address family of a host as `split_address` gives it."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
-def not_listening(descriptor: int) -> str:
+def listen_socket_error(descriptor: int) -> str:
     """Why a descriptor that was handed down can't be listened on; empty if it can."""
     try:
         sock = socket.socket(fileno=descriptor)
--- a/seamlb/net/connection.py
+++ b/seamlb/net/connection.py
@@ -79,7 +79,7 @@
         read = self._incoming
         return read is not None and read.done() and not read.cancelled() and read.exception() is None
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Have bytes come that `run` has not been told of yet? They are younger than `last_read`."""
         try:
             return not self.closed and (self._taken_in() or bool(self._peek()))
@@ -111,7 +111,7 @@
         else:
             self.late()
 
-    def took(self, messages: int, partial: bool) -> None:
+    def messages_read(self, messages: int, partial: bool) -> None:
         """So many whole messages were read just now, and perhaps a part of another, whose time runs."""
         if messages:
             self.credit = max(self.credit, 1)
@@ -185,7 +185,7 @@
         if self.reason is None and written is not self._last:
             self._watch()  # more was queued meanwhile
 
-    def finish(self, reason: CloseReason) -> None:
+    def flush_and_close(self, reason: CloseReason) -> None:
         """Close once what is queued is out, at the write time-out at the latest."""
         if not self.closed and self.stream.writing():
             flushed = self.stream.write(b"")
@@ -193,7 +193,7 @@
         else:
             self.close(reason)
 
-    def refuse(self, reason: CloseReason) -> None:
+    def lingering_close(self, reason: CloseReason) -> None:
         """Let what is queued out, end our side, and throw away what still comes, within bounds."""
         if self.closed:
             return
--- a/seamlb/net/datagram.py
+++ b/seamlb/net/datagram.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from seamlb import log
-from seamlb.net.address import family, split_address
+from seamlb.net.address import address_family, split_address
 
 Received = Callable[[bytes, tuple[str, int]], None]
 
 
-class Endpoint(asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     """One bound address; a fault in a handler is logged and costs that datagram only."""
 
     def __init__(self, kind: str, received: Received) -> None:
@@ -23,10 +23,10 @@
         self.address = ("", 0)
 
     @classmethod
-    async def bind(cls, address: str, kind: str, received: Received, shared: bool = False) -> Endpoint:
+    async def bind(cls, address: str, kind: str, received: Received, shared: bool = False) -> DatagramEndpoint:
         """Bind an address; a shared one may be bound by another process too, the last of which gets what comes."""
         host, port = split_address(address)
-        sock = socket.socket(family(host), socket.SOCK_DGRAM)
+        sock = socket.socket(address_family(host), socket.SOCK_DGRAM)
         try:
             if shared:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/seamlb/net/descriptors.py
+++ b/seamlb/net/descriptors.py
@@ -11,18 +11,18 @@
 PER_SERVER = 2  # the connection to a server, and one that tests it
 
 
-def available(configured: int) -> int:
+def descriptor_limit(configured: int) -> int:
     """Descriptors that this process may have: what the configuration says, and no more than the system gives."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
 
 
-def for_operators(total: int, most: int) -> int:
+def max_management_connections(total: int, most: int) -> int:
     """Connections that operators may hold, at most `most`."""
     return max(1, min(most, int(total * OPERATOR_SHARE)))
 
 
-def for_clients(total: int, servers: int, operators: int) -> int:
+def max_caller_connections(total: int, servers: int, operators: int) -> int:
     """Connections that callers may hold beside those to so many servers and of so many operators."""
     left = total - OWN - PER_SERVER * servers - operators
     return max(1, int(total * CLIENT_LEAST), min(int(total * CLIENT_SHARE), left))
--- a/seamlb/net/dial.py
+++ b/seamlb/net/dial.py
@@ -9,7 +9,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from seamlb import log
-from seamlb.net.address import family, split_address
+from seamlb.net.address import address_family, split_address
 from seamlb.net.connection import MAX_UNSENT, READ_CHUNK, Connection
 from seamlb.net.reason import CloseReason
 
@@ -26,7 +26,7 @@
     """Open a connection; ConnectError says why there is none, and its log line is written."""
     host, port = split_address(address)
     try:
-        sock = socket.socket(family(host))
+        sock = socket.socket(address_family(host))
     except OSError:  # no descriptor is left
         log.event("connection_end", kind=kind, peer=address, reason=CloseReason.LIMIT.value)
         raise ConnectError(CloseReason.LIMIT) from None
--- a/seamlb/net/listener.py
+++ b/seamlb/net/listener.py
@@ -10,7 +10,7 @@
 from tornado.iostream import IOStream
 from tornado.tcpserver import TCPServer
 
-from seamlb.net.address import family, split_address
+from seamlb.net.address import address_family, split_address
 from seamlb.net.connection import MAX_UNSENT, READ_CHUNK, Connection
 from seamlb.net.reason import CloseReason
 
@@ -26,22 +26,22 @@
         self.limit = limit
         self.accepted = accepted
         self.max_unsent = max_unsent
-        self.open: dict[Connection, None] = {}  # the longest without a message first
+        self.connections: dict[Connection, None] = {}  # the longest without a message first
         self.port = 0
         self._tasks: set[asyncio.Future[None]] = set()  # of connections taken at the stop
         self._own: socket.socket | None = None  # what nobody else accepts from
 
-    def start_at(self, address: str) -> None:
+    def bind_and_listen(self, address: str) -> None:
         """Listen on this address only."""
         host, port = split_address(address)
-        sock = socket.socket(family(host))
+        sock = socket.socket(address_family(host))
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
         sock.listen(512)
         self._start(sock)
         self._own = sock
 
-    def start_on(self, descriptor: int) -> None:
+    def listen_on_descriptor(self, descriptor: int) -> None:
         """Listen on a socket that was handed down; other processes may accept from it too.
 
         It is closed at the end and never shut down, as that would end it for them as well.
@@ -80,10 +80,10 @@
         """
         stream.max_write_buffer_size = self.max_unsent
         connection = Connection(stream, self.kind, f"{address[0]}:{address[1]}")
-        if len(self.open) >= self.limit and not self._make_room():
+        if len(self.connections) >= self.limit and not self._make_room():
             connection.close(CloseReason.LIMIT)
             return None
-        self.open[connection] = None
+        self.connections[connection] = None
         connection.expect()
         return self._hold(connection)
 
@@ -91,19 +91,19 @@
         try:
             await self.accepted(connection)
         finally:
-            self.open.pop(connection, None)
+            self.connections.pop(connection, None)
 
     def set_limit(self, limit: int) -> None:
         """Hold at most so many from now on; idle ones beyond that are closed."""
         self.limit = limit
-        while len(self.open) > limit and self._make_room():
+        while len(self.connections) > limit and self._make_room():
             pass
 
-    def used(self, connection: Connection) -> None:
+    def mark_used(self, connection: Connection) -> None:
         """A message came on it: it is the last to give way."""
-        if connection in self.open:
-            del self.open[connection]
-            self.open[connection] = None
+        if connection in self.connections:
+            del self.connections[connection]
+            self.connections[connection] = None
 
     def _make_room(self) -> bool:
         """Close an idle connection: of least credit, and of these the one idle for longest.
@@ -111,10 +111,10 @@
         Guards good callers against hundreds that connect and say nothing, or ask once and stay for good: who has
         been served gives way last.
         """
-        idle = [one for one in self.open if not one.in_use()]
+        idle = [one for one in self.connections if not one.in_use()]
         if not idle:
             return False
         one = min(idle, key=lambda one: -1 if one.ending else one.credit)  # of equals the first, so the oldest
-        del self.open[one]
+        del self.connections[one]
         one.close(one.ending or CloseReason.EVICTED)
         return True
--- a/seamlb/rollout/keeper.py
+++ b/seamlb/rollout/keeper.py
@@ -22,8 +22,8 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError, HTTPRequest
 
 from seamlb import log
-from seamlb.fronts.management import Calls, text
-from seamlb.net.address import family, split_address
+from seamlb.fronts.management import HttpServer, json_response
+from seamlb.net.address import address_family, split_address
 from seamlb.protocol.http import Request
 from seamlb.rollout.fence import Fence
 from seamlb.rollout.keeping import DRAIN_MOST, Action, Keeping, Start, Terminate
@@ -106,7 +106,7 @@
         self.disk = ""  # what is wrong with it
         self.orphans: list[list[int]] = []  # pid and birth of processes of a keeper that was killed
         self.tasks: set[asyncio.Task[None]] = set()
-        self.calls = Calls(
+        self.calls = HttpServer(
             "keeper",
             config.at,
             {
@@ -281,34 +281,34 @@
         }
         if self.figures and keeping.current and self.figures[0] == keeping.current.number:
             told |= {"figures": self.figures[2], "figures_age": now - self.figures[1]}
-        return text(200, **told)
+        return json_response(200, **told)
 
     def _asked(self, request: Request) -> Asked | bytes:
         """The call, its lease taken or renewed; else the answer that says why not."""
         try:
             asked = msgspec.json.decode(request.body, type=Asked)
         except msgspec.MsgspecError as error:
-            return text(400, error=str(error))
+            return json_response(400, error=str(error))
         now = asyncio.get_running_loop().time()
         if refused := self.fence.ask(now, asked.holder, asked.change, asked.seq, asked.over, asked.after):
-            return text(409, error=refused)
+            return json_response(409, error=refused)
         self._keep()
         return asked
 
     def _lease(self, request: Request) -> bytes:
         asked = self._asked(request)
-        return asked if isinstance(asked, bytes) else text(200)
+        return asked if isinstance(asked, bytes) else json_response(200)
 
     def _order(self, request: Request) -> bytes:
         asked = self._asked(request)
         if isinstance(asked, bytes):
             return asked
         if asked.revision is None or not asked.revision.true:
-            return text(400, error="no revision, or not what its digest says")
+            return json_response(400, error="no revision, or not what its digest says")
         self.revisions[asked.revision.ident] = asked.revision
         log.event("ordered", revision=asked.revision.ident, by=asked.holder, change=asked.change, seq=asked.seq)
         self._carry_out(self.keeping.order(asyncio.get_running_loop().time(), asked.revision.ident))
-        return text(200)
+        return json_response(200)
 
     def _bind(self) -> None:
         """Listen where callers come; OSError if a stranger does.
@@ -318,10 +318,10 @@
         """
         host, port = split_address(self.config.listen)
         if not self.orphans:
-            with socket.socket(family(host)) as alone:
+            with socket.socket(address_family(host)) as alone:
                 alone.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 alone.bind((host, port))
-        self.socket = socket.socket(family(host))
+        self.socket = socket.socket(address_family(host))
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self.socket.bind((host, port))
--- a/seamlb/sip/endpoint.py
+++ b/seamlb/sip/endpoint.py
@@ -12,7 +12,7 @@
 from seamlb import log
 from seamlb.net.address import split_address
 from seamlb.net.connection import Connection
-from seamlb.net.datagram import Endpoint as Datagrams
+from seamlb.net.datagram import DatagramEndpoint
 from seamlb.net.dial import ConnectError, connect
 from seamlb.net.listener import Listener
 from seamlb.net.reason import CloseReason
@@ -113,7 +113,7 @@
         self.routes: dict[Address, Route] = {}
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.udp: Datagrams | None = None
+        self.udp: DatagramEndpoint | None = None
         self.tcp: Listener | None = None
         self.addresses: dict[str, str] = {}
         self.closing = False
@@ -121,11 +121,11 @@
     async def listen(self, udp: str = "", tcp: str = "") -> None:
         """Bind what is named; port 0 takes a free one."""
         if udp:
-            self.udp = await Datagrams.bind(udp, self.kind, self._datagram)
+            self.udp = await DatagramEndpoint.bind(udp, self.kind, self._datagram)
             self.addresses["UDP"] = "{}:{}".format(*self.udp.address)
         if tcp:
             self.tcp = Listener(self.kind, self.limit, self._serve)
-            self.tcp.start_at(tcp)
+            self.tcp.bind_and_listen(tcp)
             self.addresses["TCP"] = f"{split_address(tcp)[0]}:{self.tcp.port}"
         self._spawn(self._sweep())
 
@@ -142,7 +142,7 @@
             if entry.timer:
                 entry.timer.cancel()
         for connection in list(self.connections):
-            connection.finish(CloseReason.SHUTDOWN)
+            connection.flush_and_close(CloseReason.SHUTDOWN)
         for task in self.tasks:
             task.cancel()
         if self.udp:
@@ -285,13 +285,13 @@
         def malformed(error: SipError) -> None:
             self._malformed(error, flow)
             if error.lost:
-                connection.refuse(CloseReason.MALFORMED)
+                connection.lingering_close(CloseReason.MALFORMED)
 
         def received(data: bytes) -> None:
             whole = framer.take(data, lambda message: self._message(message, flow), malformed)
-            connection.took(whole, bool(framer.data))
+            connection.messages_read(whole, bool(framer.data))
             if whole and self.tcp:
-                self.tcp.used(connection)
+                self.tcp.mark_used(connection)
 
         try:
             await connection.run(received)
--- a/seamlb/subsystems/lists.py
+++ b/seamlb/subsystems/lists.py
@@ -25,7 +25,7 @@
         to_consul = to_board
         if plugins.consul:  # a board may come at SIGHUP
             to_board, to_consul = self._merged(agent.list_changed, bool(config.board or config.known))
-        self.board = Board(config.board, config.zones, to_board, at_once=config.inherited is not None)
+        self.board = Board(config.board, config.zones, to_board, skip_first_wait=config.inherited is not None)
         self.members: list[Discovery] = [self.board]
         if plugins.consul:
             self.members.append(Consul(plugins.consul, config.zones, to_consul, config.seed))
--- a/seamlb/subsystems/peers.py
+++ b/seamlb/subsystems/peers.py
@@ -8,7 +8,7 @@
 from seamlb import log
 from seamlb.config import Config
 from seamlb.net.address import split_address
-from seamlb.net.datagram import Endpoint
+from seamlb.net.datagram import DatagramEndpoint
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Subsystem
 
@@ -23,14 +23,14 @@
         self.config = config
         self.agent = agent
         self.senders = {split_address(one): place for place, one in enumerate(config.peers)}
-        self.endpoint: Endpoint | None = None
+        self.endpoint: DatagramEndpoint | None = None
 
     async def start(self) -> bool:
         """Bind; False if another process has the address, which `follow` then waits for."""
         # The process before this one has it bound still, in a version that shares it or in one that doesn't.
         shared = self.config.inherited is not None
         try:
-            self.endpoint = await Endpoint.bind(self.config.peer_listen, "peer", self._received, shared)
+            self.endpoint = await DatagramEndpoint.bind(self.config.peer_listen, "peer", self._received, shared)
         except OSError:
             if not shared:
                 raise
--- a/tests/agreed.py
+++ b/tests/agreed.py
@@ -16,7 +16,7 @@
 from seamlb.agree.table import founding
 from tests.fleet import GOOD, ROOT, own_host
 from tests.injector import Injector
-from tests.loopback import PATIENCE
+from tests.loopback import HANG_TIMEOUT
 from tests.processes import log_events
 from tests.support import RAW
 
@@ -185,7 +185,7 @@
         rules = {key.replace("_", "."): value for key, value in values.items()}
         charter = self.newest.altered(rules, council)
         self.auditor.follow(charter)
-        async with asyncio.timeout(3 * PATIENCE):
+        async with asyncio.timeout(3 * HANG_TIMEOUT):
             while True:
                 told = await self.ask(name, "/admin/agree/propose", json.dumps({"rules": rules, "council": council}))
                 if told.get("error") == "":
@@ -213,7 +213,7 @@
             tables = [json.dumps(await self.ask(one)) for one in self.names]
             raise AssertionError(f"not all act on {number} {stance}:\n" + "\n".join(tables)) from None
 
-    async def until(self, true: Callable[[], Any], within: float = 3 * PATIENCE) -> None:
+    async def until(self, true: Callable[[], Any], within: float = 3 * HANG_TIMEOUT) -> None:
         async with asyncio.timeout(within):
             while not await true():
                 await asyncio.sleep(0.05)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -19,9 +19,9 @@
 
 from seamlb.cli import main
 from seamlb.protocol.sip import Message
-from tests.http_peers import Stand, http
+from tests.http_peers import ScriptedHttpServer, http
 from tests.injector import Injector
-from tests.loopback import PATIENCE, Peer, ScriptedDesk, answer
+from tests.loopback import HANG_TIMEOUT, Peer, ScriptedDesk, answer
 from tests.processes import log_events
 from tests.support import RAW
 
@@ -68,7 +68,7 @@
         self.listens: dict[str, str] = {}
         self.at: dict[str, str] = {}  # where each keeper is called
 
-    async def _board(self, stand: Stand, path: str) -> bytes | None:
+    async def _board(self, stand: ScriptedHttpServer, path: str) -> bytes | None:
         """A notice board without news: a process that takes over has its answer at once, and need not wait for it."""
         if "linger=0" not in path:
             await asyncio.sleep(1.5)
@@ -145,7 +145,7 @@
     async def start(self, **environment: str) -> None:
         for desk in self.desks:
             await desk.start()
-        self.stand = Stand(self._board)
+        self.stand = ScriptedHttpServer(self._board)
         self.board = await self.stand.start()
         self.configuration()
         for number in range(self.size):
@@ -185,7 +185,7 @@
         """The revision of that process."""
         return str(self.events(name, "process_start")[-1]["revision"]).partition("-")[0]
 
-    async def until(self, true: Callable[[], Any], within: float = 3 * PATIENCE) -> None:
+    async def until(self, true: Callable[[], Any], within: float = 3 * HANG_TIMEOUT) -> None:
         async with asyncio.timeout(within):
             while not true():
                 await asyncio.sleep(0.05)
@@ -207,7 +207,7 @@
                     one.send_signal(signal.SIGTERM if one in self.keepers.values() else signal.SIGKILL)
         for one in (*self.conductors, *self.keepers.values()):
             try:
-                await asyncio.wait_for(one.wait(), PATIENCE)
+                await asyncio.wait_for(one.wait(), HANG_TIMEOUT)
             except TimeoutError:
                 one.kill()
                 await one.wait()
--- a/tests/http_peers.py
+++ b/tests/http_peers.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from seamlb.routing.model import Discovery
-from tests.loopback import Story
+from tests.loopback import DaemonTestCase
 
-Handler = Callable[["Stand", str], Awaitable[bytes | None]]
+Handler = Callable[["ScriptedHttpServer", str], Awaitable[bytes | None]]
 
 
-class Stand:
+class ScriptedHttpServer:
     """An HTTP server whose handler gives each answer's bytes; None closes the connection."""
 
     def __init__(self, handler: Handler) -> None:
@@ -54,10 +54,10 @@
     return {"rev": rev, "notices": [{"rev": rev, "pool": {"complete": complete, "members": listed}}]}
 
 
-class DiscoveryStory(Story):
+class DiscoveryTestCase(DaemonTestCase):
     """Stories in which a list is followed."""
 
-    async def follow(self, member: Discovery, stand: Stand) -> None:
+    async def follow(self, member: Discovery, stand: ScriptedHttpServer) -> None:
         """Follow the list that the server tells until the story ends."""
         following = asyncio.create_task(member.run())
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,7 @@
 from seamlb.routing.model import Desk
 from tests.support import RAW
 
-PATIENCE = 20.0  # only ends a test that hangs; no test measures it
+HANG_TIMEOUT = 20.0  # only ends a test that hangs; no test measures it
 
 
 SDP = b"v=0 \xff\x00 byte for byte\r\n"
@@ -31,12 +31,12 @@
         self.framer, self.ready = Framer(), list[Message]()
 
     @classmethod
-    async def dial(cls, address: str) -> Peer:
+    async def connect(cls, address: str) -> Peer:
         host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
     @classmethod
-    async def dial_with(cls, address: str, message: Message) -> Peer:
+    async def connect_and_send(cls, address: str, message: Message) -> Peer:
         """Connect and send before this loop, which is also the agent's, can accept the connection."""
         host, _, port = address.rpartition(":")
         connected = socket.create_connection((host, int(port)))
@@ -49,7 +49,7 @@
     async def next(self) -> Message:
         """The next message; EOFError at the end."""
         while not self.ready:
-            data = await asyncio.wait_for(self.reader.read(65536), PATIENCE)
+            data = await asyncio.wait_for(self.reader.read(65536), HANG_TIMEOUT)
             if not data:
                 raise EOFError
             self.framer.feed(data)
@@ -81,7 +81,7 @@
         self.mute = False  # takes connections and says nothing on them
         self.parting = b""  # sent once the other side has ended the connection
         self.peers: list[Peer] = []
-        self.seen: asyncio.Queue[Message] = asyncio.Queue()
+        self.received: asyncio.Queue[Message] = asyncio.Queue()
 
     async def start(self, port: int = 0) -> str:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
@@ -98,7 +98,7 @@
         try:
             while True:
                 message = await peer.next()
-                self.seen.put_nowait(message)
+                self.received.put_nowait(message)
                 if message.method == "INVITE":
                     await self.script(peer, message)
         except (EOFError, OSError, asyncio.CancelledError):
@@ -107,7 +107,7 @@
 
     async def until(self, method: str) -> Message:
         while True:
-            message = await asyncio.wait_for(self.seen.get(), PATIENCE)
+            message = await asyncio.wait_for(self.received.get(), HANG_TIMEOUT)
             if message.method == method:
                 return message
 
@@ -134,7 +134,7 @@
     return script
 
 
-async def silent(peer: Peer, invite: Message) -> None:
+async def never_answer(peer: Peer, invite: Message) -> None:
     """Say nothing to a set-up."""
 
 
@@ -144,7 +144,7 @@
     )
 
 
-def invite(ident: str = "00000000000000a1", dest: int = 0, timer: int = 3000, kind: str = "a") -> Message:
+def invite(ident: str = "00000000000000a1", dest: int = 0, timer: int = 3000, call_class: str = "a") -> Message:
     return Message(
         "INVITE",
         "sip:1234@net",
@@ -152,7 +152,7 @@
             ("Via", "SIP/2.0/TCP peer"),
             ("Call-ID", ident),
             ("CSeq", "1 INVITE"),
-            ("X-Cos", kind),
+            ("X-Cos", call_class),
             ("X-Timer-Ms", str(timer)),
             ("X-Legs", f"dest:{dest};width:1;via:-1"),
         ],
@@ -160,7 +160,7 @@
     )
 
 
-def plain(method: str, ident: str = "00000000000000a1", *extra: tuple[str, str]) -> Message:
+def sip_request(method: str, ident: str = "00000000000000a1", *extra: tuple[str, str]) -> Message:
     return Message(
         method,
         "sip:1234@net",
@@ -179,7 +179,7 @@
     async def stop(self) -> None: ...
 
 
-class Story(unittest.IsolatedAsyncioTestCase):
+class DaemonTestCase(unittest.IsolatedAsyncioTestCase):
     """A daemon's parts between scripted desks and callers; logs go to `self.logged`."""
 
     def setUp(self) -> None:
@@ -207,7 +207,7 @@
         for place, one in enumerate(desks):
             await self.eventually(lambda one=one: one.peers)
             await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
-            self.warm(daemon, place)
+            self.fill_budget(daemon, place)
         return daemon
 
     async def _stop(self, daemon: Daemon, desks: tuple[Stops, ...]) -> None:
@@ -220,17 +220,17 @@
         return Desk(f"d{place}", address, 0, place, phase, since)
 
     @staticmethod
-    def warm(daemon: Daemon, place: int) -> None:
+    def fill_budget(daemon: Daemon, place: int) -> None:
         """Give a desk its full budget, which begins at random: the stories are not about rule 4."""
         core = daemon.agent.module.node.fleet.servers[place]
         core.cold_from, core.tokens = float("-inf"), 2.0
 
     async def caller(self) -> Peer:
-        peer = await Peer.dial(self.address)
+        peer = await Peer.connect(self.address)
         self.addCleanup(peer.close)
         return peer
 
     async def eventually(self, true: Callable[[], Any]) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(HANG_TIMEOUT):
             while not true():
                 await asyncio.sleep(0.005)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.loopback import PATIENCE, Story
+from tests.loopback import HANG_TIMEOUT, DaemonTestCase
 
 ROOT = Path(__file__).resolve().parent.parent
 EXAMPLE = str(ROOT / "examples" / "config.json")
@@ -21,7 +21,7 @@
     return [line for line in lines if line.get("event") == event]
 
 
-class ProcessStory(Story):
+class ProcessStory(DaemonTestCase):
     """Starts processes, reads their lines, and ends those that are left."""
 
     python = sys.executable
@@ -48,7 +48,7 @@
         return process
 
     async def line(self, process: asyncio.subprocess.Process, holds: str) -> str:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(HANG_TIMEOUT):
             while holds not in (line := (await process.stdout.readline()).decode()):
                 self.assertTrue(line, f"ended before {holds!r}")
             return line
--- a/tests/sip_peers.py
+++ b/tests/sip_peers.py
@@ -10,8 +10,8 @@
 from seamlb.extras import Plugins, SipDesksConfig
 from seamlb.protocol.sip import Message, parameter, response
 from seamlb.sip.settings import SipFrontConfig
-from tests.loopback import SDP, Peer, Story, config
-from tests.udp_peer import Udp
+from tests.loopback import SDP, DaemonTestCase, Peer, config
+from tests.udp_peer import UdpPeer
 
 
 class SipCaller:
@@ -19,17 +19,17 @@
 
     count = 0
 
-    def __init__(self, peer: Peer | Udp, transport: str, address: str) -> None:
+    def __init__(self, peer: Peer | UdpPeer, transport: str, address: str) -> None:
         self.peer, self.transport, self.address = peer, transport.upper(), address
         self.seq = 0
         self.renew()
 
     @classmethod
-    async def dial(cls, target: str, transport: str) -> SipCaller:
+    async def connect(cls, target: str, transport: str) -> SipCaller:
         if transport == "udp":
-            udp = await Udp.bind(target)
+            udp = await UdpPeer.bind(target)
             return cls(udp, transport, udp.address)
-        peer = await Peer.dial(target)
+        peer = await Peer.connect(target)
         return cls(peer, transport, "{}:{}".format(*peer.writer.get_extra_info("sockname")))
 
     def renew(self) -> None:
@@ -91,14 +91,14 @@
     """A SIP desk over UDP or TCP: what it does with a set-up is told by the number called."""
 
     def __init__(self) -> None:
-        self.seen: list[Message] = []
+        self.received: list[Message] = []
         self.hold: dict[str, Message] = {}
-        self.peer: Peer | Udp | None = None
+        self.peer: Peer | UdpPeer | None = None
 
     async def start(self, transport: str) -> str:
         self.transport = transport
         if transport == "udp":
-            self.peer = udp = await Udp.bind()
+            self.peer = udp = await UdpPeer.bind()
             self.address = udp.address
             self.task = asyncio.create_task(self._loop(udp))
             return self.address
@@ -110,11 +110,11 @@
         self.peer = Peer(reader, writer)
         await self._loop(self.peer)
 
-    async def _loop(self, peer: Peer | Udp) -> None:
+    async def _loop(self, peer: Peer | UdpPeer) -> None:
         try:
             while True:
                 message = await peer.next()
-                self.seen.append(message)
+                self.received.append(message)
                 if message.method == "INVITE" and self.methods().count("INVITE") > len(self.hold):
                     self._invite(peer, message)
                 elif message.method == "CANCEL":
@@ -126,7 +126,7 @@
         except (EOFError, OSError, asyncio.CancelledError):
             peer.close()
 
-    def _invite(self, peer: Peer | Udp, message: Message) -> None:
+    def _invite(self, peer: Peer | UdpPeer, message: Message) -> None:
         self.hold[message.get("call-id")] = message
         number = message.uri[4:].partition("@")[0]
         peer.send(response(message, 100))
@@ -162,7 +162,7 @@
         )
 
     def methods(self) -> list[str]:
-        return [one.method for one in self.seen if one.method]
+        return [one.method for one in self.received if one.method]
 
     async def stop(self) -> None:
         if self.transport == "tcp":
@@ -171,7 +171,7 @@
             self.peer.close()
 
 
-class SipStory(Story):
+class SipTestCase(DaemonTestCase):
     """A daemon whose callers and servers speak SIP."""
 
     async def start_sip(self, transport: str = "udp", front: dict[str, Any] | None = None, **change: Any) -> Daemon:
@@ -185,10 +185,10 @@
         self.addAsyncCleanup(self._stop, daemon, (self.standin,))
         await daemon.start()
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(0, address)])
-        self.warm(daemon, 0)
+        self.fill_budget(daemon, 0)
         return daemon
 
     async def sip_caller(self, daemon: Daemon, transport: str) -> SipCaller:
-        caller = await SipCaller.dial(daemon.sip.endpoint.addresses[transport.upper()], transport)
+        caller = await SipCaller.connect(daemon.sip.endpoint.addresses[transport.upper()], transport)
         self.addCleanup(caller.peer.close)
         return caller
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -9,7 +9,7 @@
 
 from seamlb.emulator.audit import SLACK
 from seamlb.protocol.sip import Message, response
-from tests.loopback import bye, invite, plain
+from tests.loopback import bye, invite, sip_request
 from tests.soak.agents import AgentProcesses
 from tests.soak.draw import Plan
 from tests.soak.record import Record
@@ -74,7 +74,7 @@
             await asyncio.sleep(KEEP_EVERY)
             for agent in self.agents:
                 if agent.new_calls and (wire := await self._connect(agent)):
-                    wire.send(plain("OPTIONS", "0").encode())
+                    wire.send(sip_request("OPTIONS", "0").encode())
                     self.wires[agent.number].append(wire)
                     self._close_oldest(agent)
 
@@ -128,7 +128,9 @@
         kind, deadline = ("soon", self.plan.short) if self.rng.random() < 0.3 else ("later", self.plan.longest)
         patience = deadline * self.rng.uniform(0.3, 1.0)
         ident, now = f"{self.rng.getrandbits(64):016x}", self.loop.time()
-        message = invite(ident, dest=self.rng.randrange(self.plan.servers), timer=int(patience * 1000), kind=kind)
+        message = invite(
+            ident, dest=self.rng.randrange(self.plan.servers), timer=int(patience * 1000), call_class=kind
+        )
         self.waiting[ident] = Waiting(agent, wire, now, kind, patience, again)
         self.asked_of[ident] = agent, now
         self.record.audit.asked(now, ident, kind, patience)
@@ -152,7 +154,7 @@
         if one := self.waiting.pop(ident, None):
             self.record.note(ident, "caller", "CANCEL")
             self.record.audit.gave_up(self.loop.time(), ident)
-            one.wire.send(plain("CANCEL", ident).encode())
+            one.wire.send(sip_request("CANCEL", ident).encode())
             self._count("left")
 
     def _took(self, wire: Wire, message: Message) -> None:
@@ -168,7 +170,7 @@
     def _answered(self, wire: Wire, ident: str, status: int) -> None:
         now = self.loop.time()
         self.record.note(ident, "caller", str(status))
-        wire.send(plain("ACK", ident).encode())
+        wire.send(sip_request("ACK", ident).encode())
         one = self.waiting.pop(ident, None)
         if one is None and self.record.audit.calls[ident].left <= now:
             return  # it crossed our CANCEL
--- a/tests/soak/probes.py
+++ b/tests/soak/probes.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from seamlb.protocol.sip import Message
-from tests.loopback import plain
+from tests.loopback import sip_request
 from tests.soak.record import Record
 from tests.soak.wire import Wire
 
@@ -30,7 +30,7 @@
         _, wire = await loop.create_connection(lambda: Wire(took, lambda wire: told(False)), host, int(port))
     except OSError:
         return False
-    wire.send(plain("OPTIONS", "0").encode())
+    wire.send(sip_request("OPTIONS", "0").encode())
     try:
         async with asyncio.timeout(TEST_WITHIN):
             return await answer
--- a/tests/test_board_restarts.py
+++ b/tests/test_board_restarts.py
@@ -8,8 +8,8 @@
 from seamlb import api
 from seamlb.discovery import board as module
 from seamlb.discovery.board import Board
-from tests.http_peers import DiscoveryStory, Stand, http, notices
-from tests.loopback import ScriptedDesk, Story, invite
+from tests.http_peers import DiscoveryTestCase, ScriptedHttpServer, http, notices
+from tests.loopback import DaemonTestCase, ScriptedDesk, invite
 
 READY, DRAINING, GONE = api.Availability.READY, api.Availability.DRAINING, api.Availability.GONE
 
@@ -21,18 +21,18 @@
     return raw
 
 
-class Restarts(DiscoveryStory):
-    async def play(self, *answers: dict[str, Any] | bytes) -> tuple[Stand, list[dict[str, int]]]:
+class Restarts(DiscoveryTestCase):
+    async def play(self, *answers: dict[str, Any] | bytes) -> tuple[ScriptedHttpServer, list[dict[str, int]]]:
         """A board that gives these answers, and what the list was told to be."""
         given = [one if isinstance(one, bytes) else http(one) for one in answers]
         told: list[dict[str, int]] = []
 
-        async def handler(stand: Stand, path: str) -> bytes | None:
+        async def handler(stand: ScriptedHttpServer, path: str) -> bytes | None:
             if len(stand.paths) > len(given):
                 await asyncio.Event().wait()
             return given[len(stand.paths) - 1]
 
-        stand = Stand(handler)
+        stand = ScriptedHttpServer(handler)
         board = Board(
             await stand.start(),
             ["z"],
@@ -42,7 +42,7 @@
         await self.eventually(lambda: len(stand.paths) == len(given) + 1)
         return stand, told
 
-    def asked(self, stand: Stand) -> list[str]:
+    def asked(self, stand: ScriptedHttpServer) -> list[str]:
         return [path.split("watch=")[1].split("&")[0] for path in stand.paths]
 
     async def test_a_board_whose_numbers_went_back_is_asked_for_everything(self) -> None:
@@ -84,7 +84,7 @@
         self.assertEqual(len(self.events("malformed")), len(cut) + len(forms))
 
 
-class Lists(Story):
+class Lists(DaemonTestCase):
     async def test_a_whole_list_again_leaves_calls_and_connections_as_they_are(self) -> None:
         desk = ScriptedDesk()
         daemon = await self.start(desk)
--- a/tests/test_configurations.py
+++ b/tests/test_configurations.py
@@ -10,7 +10,7 @@
 
 from seamlb.cli import main
 from tests.processes import EXAMPLE, ROOT
-from tests.sip_peers import SipStory
+from tests.sip_peers import SipTestCase
 from tests.support import RAW
 
 
@@ -57,7 +57,7 @@
         self.assertRegex(CliRunner().invoke(main, ["version"]).output, r"^seamlb \d")
 
 
-class Hooks(SipStory):
+class Hooks(SipTestCase):
     async def run_with(self, text: str) -> int:
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "hook.py"
         path.write_text(text)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,15 +12,26 @@
 from seamlb.protocol.sip import MAX_MESSAGE, Message
 from seamlb.routing.life import Heard, Life
 from seamlb.routing.model import Answer, Outcome
-from tests.loopback import PATIENCE, SDP, Peer, ScriptedDesk, Story, bye, invite, plain, reply, silent
+from tests.loopback import (
+    HANG_TIMEOUT,
+    SDP,
+    DaemonTestCase,
+    Peer,
+    ScriptedDesk,
+    bye,
+    invite,
+    never_answer,
+    reply,
+    sip_request,
+)
 
 ID = "00000000000000a1"
 
 
-class CallersThatGo(Story):
+class CallersThatGo(DaemonTestCase):
     async def open_call(self) -> tuple[Any, ScriptedDesk, Peer, Any]:
         """A daemon, a server that says nothing, a caller, and its call with an attempt out."""
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
@@ -44,14 +55,14 @@
         life.news.put_nowait(answered(life))
         daemon.agent.caller_left(life)
         await desk.until("BYE")
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await caller.next()).get("call-id"), "t")  # and no answer before it
 
     async def test_a_caller_that_cancels_in_the_bar_is_not_sent_on(self) -> None:
         daemon, desk, caller, life = await self.open_call()
         life.news.put_nowait(ended(life, api.Status.RESET))  # barred for 300 ms
         await self.eventually(lambda: life.attempt is None)
-        caller.send(plain("CANCEL", ID))
+        caller.send(sip_request("CANCEL", ID))
         await self.eventually(lambda: not daemon.agent.lives)
         daemon.agent.tell(api.TimerFired(life.number))  # the bar is over
         await self.until_quiet(daemon, desk)
@@ -59,8 +70,8 @@
     async def until_quiet(self, daemon: Any, desk: ScriptedDesk) -> None:
         """The server reads what was written to it so far, and no set-up is in it."""
         (link,) = daemon.desks.links.values()
-        link.open[-1].send(plain("OPTIONS", "end").encode())
-        while (message := await asyncio.wait_for(desk.seen.get(), PATIENCE)).method != "OPTIONS":
+        link.open[-1].send(sip_request("OPTIONS", "end").encode())
+        while (message := await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)).method != "OPTIONS":
             self.assertNotEqual(message.method, "INVITE")
 
 
@@ -76,7 +87,7 @@
     return Heard(life.attempt.leg, Answer(SDP))
 
 
-class Servers(Story):
+class Servers(DaemonTestCase):
     async def waiting(self) -> tuple[Any, ScriptedDesk, Peer, asyncio.Event]:
         """A daemon, a server, a caller whose set-up waits for the connection, and what lets that come up."""
         desk, up = ScriptedDesk(), asyncio.Event()
@@ -89,7 +100,7 @@
         daemon = await self.start()
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(0, await desk.start())])
         self.addAsyncCleanup(desk.stop)
-        self.warm(daemon, 0)
+        self.fill_budget(daemon, 0)
         caller = await self.caller()
         caller.send(invite())
         await self.eventually(lambda: daemon.desks.links["d0"].waiting)
@@ -102,16 +113,16 @@
         up.set()
         self.assertEqual((await caller.next()).status, 503)
         await self.eventually(lambda: desk.peers)
-        self.assertTrue(desk.seen.empty())
+        self.assertTrue(desk.received.empty())
 
     async def test_a_caller_that_cancels_while_the_connection_comes_up_is_not_sent_on(self) -> None:
         daemon, desk, caller, up = await self.waiting()
-        caller.send(plain("CANCEL", ID))
+        caller.send(sip_request("CANCEL", ID))
         await self.eventually(lambda: not daemon.agent.lives)
         up.set()
         await self.eventually(lambda: daemon.desks.links["d0"].open)
-        daemon.desks.links["d0"].open[-1].send(plain("OPTIONS", "end").encode())
-        first = await asyncio.wait_for(desk.seen.get(), PATIENCE)
+        daemon.desks.links["d0"].open[-1].send(sip_request("OPTIONS", "end").encode())
+        first = await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)
         self.assertEqual(first.method, "OPTIONS")  # and nothing before it
 
     async def test_a_release_that_a_new_server_sends_on_its_predecessors_connection_reaches_the_caller(self) -> None:
@@ -121,7 +132,7 @@
         daemon.agent.list_changed(api.Scope.DELTA, [self.desk(1, desk.address)])
         await self.eventually(lambda: len(desk.peers) == 2)
         await self.eventually(lambda: daemon.agent.module.node.fleet.servers[1].reported_at > 0)
-        self.warm(daemon, 1)
+        self.fill_budget(daemon, 1)
         caller = await self.caller()
         caller.send(invite(dest=1))
         await caller.until(200)
@@ -156,13 +167,13 @@
         self.assertEqual([one["where"] for one in self.events("fault")], ["desk"])
 
 
-class Releases(Story):
+class Releases(DaemonTestCase):
     async def standing(self) -> tuple[Any, ScriptedDesk, Peer, Peer]:
         """A daemon, a server, a caller whose call stands there, and another that has asked for something."""
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         first, second = await self.caller(), await self.caller()
-        second.send(plain("OPTIONS", "t"))
+        second.send(sip_request("OPTIONS", "t"))
         await second.until(200)
         first.send(invite())
         await first.until(200)
@@ -179,11 +190,11 @@
         daemon, desk, first, second = await self.standing()
         desk.peers[0].send(bye(ID, 16))
         first.send(reply_to_bye(await first.until("BYE")))
-        first.send(plain("OPTIONS", "t"))
+        first.send(sip_request("OPTIONS", "t"))
         await first.until(200)
         first.close()
         await self.eventually(lambda: len(daemon.front.clients) == 1)
-        second.send(plain("OPTIONS", "t"))
+        second.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await second.next()).status, 200)
 
     async def test_a_release_is_not_written_to_a_connection_that_has_ended_unseen(self) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,11 +14,11 @@
 from seamlb.daemon import Daemon
 from seamlb.fronts.calls import Client
 from seamlb.net.connection import MAX_UNSENT_CLIENT
-from seamlb.net.descriptors import CLIENT_LEAST, OWN, for_clients, for_operators
+from seamlb.net.descriptors import CLIENT_LEAST, OWN, max_caller_connections, max_management_connections
 from seamlb.net.dial import ConnectError, connect
 from seamlb.net.reason import CloseReason
-from tests.http_peers import Stand, http, notices
-from tests.loopback import PATIENCE, Peer, ScriptedDesk, Story, invite, plain
+from tests.http_peers import ScriptedHttpServer, http, notices
+from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, invite, sip_request
 from tests.processes import ProcessStory
 from tests.support import RAW
 
@@ -29,8 +29,8 @@
 @pytest.mark.parametrize("total", [64, 96, 256, 512, 640, 4096])
 @pytest.mark.parametrize("servers", [1, 8, 24, 64])
 def test_what_is_kept_back_is_never_the_callers(total: int, servers: int) -> None:
-    operators = for_operators(total, 32)
-    clients = for_clients(total, servers, operators)
+    operators = max_management_connections(total, 32)
+    clients = max_caller_connections(total, servers, operators)
     assert clients >= int(total * CLIENT_LEAST), "the platform's callers hold as many"
     assert clients + operators + OWN + 2 * servers <= total or clients == int(total * CLIENT_LEAST)
 
@@ -54,30 +54,30 @@
         agent = await self.process("-c", limited, program="sh")
         await self.line(agent, '"serving"')
         agent.send_signal(signal.SIGSTOP)  # so that all of them wait to be accepted in one turn of its loop
-        crowd = [await Peer.dial(listen) for _ in range(IDLE)]
+        crowd = [await Peer.connect(listen) for _ in range(IDLE)]
         agent.send_signal(signal.SIGCONT)
         self.assertEqual(await self.health(operators), 200)
         desk = ScriptedDesk()
         address = await desk.start()
 
-        async def handler(stand: Stand, asked: str) -> bytes | None:
+        async def handler(stand: ScriptedHttpServer, asked: str) -> bytes | None:
             if len(stand.paths) > 1:
                 await asyncio.Event().wait()
             listed: dict[str, Any] = notices(1, ("d", "Ready"), complete=True)
             listed["notices"][0]["pool"]["members"][0] |= {"host_port": address, "cell": 0}
             return http(listed)
 
-        discovery = Stand(handler)
+        discovery = ScriptedHttpServer(handler)
         await discovery.start(int(board.rpartition(":")[2]))
         await self.eventually(lambda: desk.peers)
-        caller = await Peer.dial(listen)  # an idle one gives way
+        caller = await Peer.connect(listen)  # an idle one gives way
         caller.send(invite())
         await caller.until(200)
         self.assertLessEqual(len(list(Path(f"/proc/{agent.pid}/fd").iterdir())), SOCKETS)
         for one in (*crowd, caller):
             one.close()
         agent.send_signal(signal.SIGTERM)
-        lines, _ = await asyncio.wait_for(agent.communicate(), PATIENCE)
+        lines, _ = await asyncio.wait_for(agent.communicate(), HANG_TIMEOUT)
         self.assertNotIn(b"Too many open files", lines)
         discovery.server.close()
         await desk.stop()
@@ -92,7 +92,7 @@
         return int(head.split(b" ")[1])
 
 
-class Exhausted(Story):
+class Exhausted(DaemonTestCase):
     async def test_a_connection_without_a_descriptor_is_one_that_never_came_up(self) -> None:
         none_left = OSError(errno.EMFILE, "Too many open files")
         with mock.patch("socket.socket", side_effect=none_left), self.assertRaises(ConnectError) as failed:
@@ -101,12 +101,12 @@
         self.assertEqual([one["reason"] for one in self.events("connection_end")], ["limit"])
 
 
-class Unread(Story):
+class Unread(DaemonTestCase):
     async def test_what_waits_for_a_caller_that_never_reads_is_bounded(self) -> None:
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
         (client,) = await self.clients(daemon)
-        long = plain("OPTIONS", "t")
+        long = sip_request("OPTIONS", "t")
         long.headers[0] = ("Via", "SIP/2.0/TCP " + "p" * 8000)  # which the answer repeats
         while not self.events("connection_end"):
             caller.send(long)
--- a/tests/test_desk_silence.py
+++ b/tests/test_desk_silence.py
@@ -10,7 +10,7 @@
 from seamlb.net.dial import ConnectError
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Message
-from tests.loopback import SDP, Peer, ScriptedDesk, Story, bye, invite, silent
+from tests.loopback import SDP, DaemonTestCase, Peer, ScriptedDesk, bye, invite, never_answer
 
 STATE = Message(
     "NOTIFY",
@@ -19,7 +19,7 @@
 )
 
 
-class Silence(Story):
+class Silence(DaemonTestCase):
     async def standing(self) -> tuple[ScriptedDesk, Daemon, Peer]:
         """A desk, a daemon and a caller whose call stands there."""
         desk = ScriptedDesk()
@@ -61,7 +61,7 @@
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
     async def test_a_desk_that_falls_silent_is_tested_by_another_connection(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,15 +7,15 @@
 from seamlb.discovery.board import Board
 from seamlb.discovery.consul import Consul, ConsulConfig
 from seamlb.protocol.http import HttpError, ResponseReader
-from tests.http_peers import DiscoveryStory, Stand, http, notices
-from tests.loopback import Story
+from tests.http_peers import DiscoveryTestCase, ScriptedHttpServer, http, notices
+from tests.loopback import DaemonTestCase
 
 
-class Discovery(DiscoveryStory):
+class Discovery(DiscoveryTestCase):
     async def test_the_board_is_polled_on_and_reconnected_to(self) -> None:
         told: list[tuple[int, dict[str, int]]] = []
 
-        async def handler(stand: Stand, path: str) -> bytes | None:
+        async def handler(stand: ScriptedHttpServer, path: str) -> bytes | None:
             match len(stand.paths):
                 case 1:
                     return http(notices(2, ("a", "Ready"), complete=True))
@@ -30,7 +30,7 @@
             await asyncio.Event().wait()
             return None
 
-        stand = Stand(handler)
+        stand = ScriptedHttpServer(handler)
         board = Board(
             await stand.start(),
             ["z"],
@@ -50,35 +50,35 @@
         self.assertEqual([one["reason"] for one in self.events("connection_end")], ["peer_closed", "malformed"])
 
     async def test_a_silent_poll_is_bounded(self) -> None:
-        async def handler(stand: Stand, path: str) -> bytes | None:
+        async def handler(stand: ScriptedHttpServer, path: str) -> bytes | None:
             await asyncio.Event().wait()
             return None
 
-        stand = Stand(handler)
+        stand = ScriptedHttpServer(handler)
         board = Board(await stand.start(), [], lambda scope, desks: None)
         await self.follow(board, stand)
         await self.eventually(lambda: len(stand.paths) == 2)
         self.assertEqual(self.events("connection_end")[0]["reason"], "silent")
 
     async def test_a_move_leaves_whatever_is_under_way_and_the_numbers_continue(self) -> None:
-        async def first(stand: Stand, path: str) -> bytes | None:
+        async def first(stand: ScriptedHttpServer, path: str) -> bytes | None:
             if len(stand.paths) == 1:
                 return http(notices(7, ("a", "Ready"), complete=True))
             await asyncio.Event().wait()  # a poll is out for as long as it may be
             return None
 
-        async def second(stand: Stand, path: str) -> bytes | None:
+        async def second(stand: ScriptedHttpServer, path: str) -> bytes | None:
             if len(stand.paths) == 1:
                 return http(notices(8, ("a", "Gone")))
             await asyncio.Event().wait()
             return None
 
         told: list[int] = []
-        old, new = Stand(first), Stand(second)
+        old, new = ScriptedHttpServer(first), ScriptedHttpServer(second)
         board = Board(await old.start(), ["z"], lambda scope, desks: told.append(desks[0].availability))
         await self.follow(board, old)
         await self.eventually(lambda: len(old.paths) == 2)
-        board.move(await new.start())
+        board.set_address(await new.start())
         self.addCleanup(new.server.close)
         await self.eventually(lambda: len(new.paths) == 2)
         self.assertEqual([path.split("watch=")[1][0] for path in new.paths], ["7", "8"])
@@ -104,7 +104,7 @@
         def health(name: str, status: str) -> dict[str, Any]:
             return {"Node": {"Node": "n"}, "Service": {"ID": name}, "Checks": [{"Status": status}]}
 
-        async def handler(stand: Stand, path: str) -> bytes | None:
+        async def handler(stand: ScriptedHttpServer, path: str) -> bytes | None:
             kind = path.split("/")[2]
             state[kind] += 1
             if kind == "catalog":
@@ -125,7 +125,7 @@
         async def sleep(seconds: float) -> None:
             pauses.append(seconds)
 
-        stand = Stand(handler)
+        stand = ScriptedHttpServer(handler)
         config = ConsulConfig(await stand.start(), "duty desk")
         consul = Consul(
             config,
@@ -150,7 +150,7 @@
         self.assertEqual((desk.address, desk.cell), ("127.0.0.1:1", 2))
 
 
-class Http(Story):
+class Http(DaemonTestCase):
     def test_chunks_interim_answers_and_pieces(self) -> None:
         data = (
             b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -51,7 +51,7 @@
 
     async def answered(self) -> None:
         """Wait until a caller that comes now has its final answer."""
-        caller = await Peer.dial(self.listen)
+        caller = await Peer.connect(self.listen)
         caller.send(invite())
         await caller.next()
         caller.close()
@@ -60,7 +60,7 @@
         self.assertLessEqual(peak_kib(self.agent.pid), self.idle_kib + GROWTH_KIB)
 
     async def test_half_messages_of_a_crowd(self) -> None:
-        crowd = [await Peer.dial(self.listen) for _ in range(CROWD)]
+        crowd = [await Peer.connect(self.listen) for _ in range(CROWD)]
         for one in crowd:
             one.send(HALF)
         await self.answered()
@@ -69,7 +69,7 @@
             one.close()
 
     async def test_requests_of_callers_that_never_read(self) -> None:
-        writers = [await Peer.dial(self.listen) for _ in range(WRITERS)]
+        writers = [await Peer.connect(self.listen) for _ in range(WRITERS)]
         for number, one in enumerate(writers):
             for place in range(PIPELINED):
                 one.send(invite(f"{number:08x}{place:08x}"))
@@ -79,7 +79,7 @@
             one.close()
 
     async def test_retries_of_many_callers(self) -> None:
-        caller = await Peer.dial(self.listen)
+        caller = await Peer.connect(self.listen)
         for place in range(RETRIES):
             caller.send(invite(f"{place:016x}"))
             if place % 50 == 49:
--- a/tests/test_last_releases.py
+++ b/tests/test_last_releases.py
@@ -5,12 +5,12 @@
 from seamlb import api
 from seamlb.routing.life import Heard
 from seamlb.routing.model import Outcome
-from tests.loopback import PATIENCE, Peer, ScriptedDesk, Story, bye, invite, plain
+from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, bye, invite, sip_request
 
 ID = "00000000000000a1"
 
 
-class Ends(Story):
+class Ends(DaemonTestCase):
     async def standing(self) -> tuple[ScriptedDesk, Peer]:
         """A call that stands, in a process that closes its listener and its callers' connections at its next look."""
         desk = ScriptedDesk()
@@ -18,9 +18,9 @@
         caller = await self.caller()
         caller.send(invite())
         await caller.until(200)
-        caller.send(plain("ACK", ID))
+        caller.send(sip_request("ACK", ID))
         await desk.until("ACK")
-        await self.eventually(self.daemon.front.reachable)
+        await self.eventually(self.daemon.front.reachable_connections)
         self.daemon.lifecycle.terminate(asyncio.get_running_loop().time() - 1.0)
         return desk, caller
 
@@ -81,13 +81,13 @@
         daemon = await self.start(desk)
         desk.peers[0].send(bye(ID, 16))
         await self.eventually(lambda: daemon.front.releases.pending)
-        desk.peers[0].send(plain("OPTIONS", "t"))  # answered behind the release
-        answer = await asyncio.wait_for(desk.seen.get(), PATIENCE)
+        desk.peers[0].send(sip_request("OPTIONS", "t"))  # answered behind the release
+        answer = await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)
         self.assertEqual((answer.status, answer.cseq()[1]), (200, "OPTIONS"))
         caller = await self.caller()
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await caller.until("BYE")).get("call-id"), ID)
-        confirmed = await asyncio.wait_for(desk.seen.get(), PATIENCE)
+        confirmed = await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)
         self.assertEqual((confirmed.status, confirmed.cseq()[1]), (200, "BYE"))
 
     async def test_a_release_that_waits_for_a_better_connection_is_told_before_the_last_caller_goes(self) -> None:
@@ -95,7 +95,7 @@
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         caller = await self.caller()
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         await caller.until(200)
         desk.peers[0].send(bye(ID, 16))
         await self.eventually(lambda: daemon.front.releases.pending)
@@ -104,7 +104,7 @@
         self.assertEqual((await caller.until("BYE")).get("call-id"), ID)
 
 
-class Deaf(Story):
+class Deaf(DaemonTestCase):
     async def test_a_release_goes_to_a_caller_that_is_known_to_read(self) -> None:
         # Guards the end of a call from a connection whose caller never reads: it is served like any other.
         desk = ScriptedDesk()
@@ -112,10 +112,10 @@
         good, deaf, gone = [await self.caller() for _ in range(3)]
         good.send(invite("00000000000000a2"))
         await good.until(200)
-        good.send(plain("ACK", "00000000000000a2"))
+        good.send(sip_request("ACK", "00000000000000a2"))
         gone.send(invite(ID))
         await gone.until(200)
-        gone.send(plain("ACK", ID))
+        gone.send(sip_request("ACK", ID))
         deaf.send(invite("00000000000000a3"))
         for _ in range(3):
             await desk.until("ACK")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -10,12 +10,12 @@
 from seamlb.daemon import TEND_EVERY
 from seamlb.fronts import management
 from seamlb.protocol.http import ResponseReader
-from tests.loopback import PATIENCE, Peer, ScriptedDesk, bye, config, invite, plain, refuse, silent
-from tests.sip_peers import SipStory
+from tests.loopback import HANG_TIMEOUT, Peer, ScriptedDesk, bye, config, invite, never_answer, refuse, sip_request
+from tests.sip_peers import SipTestCase
 from tests.support import RAW
 
 
-class Operators(SipStory):
+class Operators(SipTestCase):
     async def serve(self, *desks: ScriptedDesk, **change: Any) -> Any:
         daemon = await self.start(*desks, management="127.0.0.1:0", **change)
         daemon.management.start()
@@ -26,7 +26,7 @@
     async def raw(self, data: bytes) -> bytes:
         reader, writer = await asyncio.open_connection(*self.operators.split(":"))
         writer.write(data)
-        told = await asyncio.wait_for(reader.read(), PATIENCE)
+        told = await asyncio.wait_for(reader.read(), HANG_TIMEOUT)
         writer.close()
         return told
 
@@ -46,9 +46,9 @@
         for number, dest in enumerate((0, 0, 1)):
             caller.send(invite(f"{number:016x}", dest=dest))
             self.assertIn((await caller.next()).status, (200, 500, 503))
-        caller.send(invite(f"{9:016x}", kind="b"))
+        caller.send(invite(f"{9:016x}", call_class="b"))
         daemon.agent.max_open = 0
-        caller.send(invite(f"{10:016x}", kind="b"))
+        caller.send(invite(f"{10:016x}", call_class="b"))
         await self.eventually(lambda: daemon.agent.counters.throttled["b"])
         stats, told = [(await self.call("GET", f"/admin/{name}"))[1] for name in ("stats", "measures")]
         for kind, ends in told["counts"].items():
@@ -63,7 +63,7 @@
         daemon = await self.serve(desk)
         self.assertEqual(await self.call("GET", "/admin/health"), (200, {"phase": "ready"}))
         idle, busy = await self.caller(), await self.caller()
-        idle.send(plain("OPTIONS", "t"))
+        idle.send(sip_request("OPTIONS", "t"))
         await idle.until(200)
         busy.send(invite())
         await busy.until(200)
@@ -73,7 +73,7 @@
             with self.assertRaises(EOFError):
                 await idle.next()
             # The front had not noticed yet: it is served as ever.
-            late = await Peer.dial_with(self.address, invite("00000000000000a2"))
+            late = await Peer.connect_and_send(self.address, invite("00000000000000a2"))
             self.addCleanup(late.close)
             await late.until(200)
             desk.peers[0].send(bye("00000000000000a1", 16))
@@ -86,12 +86,12 @@
         )
         self.assertEqual(await self.call("POST", "/admin/resume"), (200, {"phase": "ready"}))
         again = await self.caller()
-        again.send(plain("OPTIONS", "t"))
+        again.send(sip_request("OPTIONS", "t"))
         await again.until(200)
         self.assertEqual(len(daemon.front.clients), 2)
 
     async def test_a_connection_that_never_rests_is_told_to_come_back_elsewhere(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         await self.serve(desk)
         busy = await self.caller()
         busy.send(invite())
@@ -101,14 +101,14 @@
             busy.send(invite("00000000000000a2"))
             told = await busy.until(503)
             self.assertEqual((told.get("call-id"), told.get("retry-after")), ("00000000000000a2", "1"))
-            busy.send(plain("CANCEL"))
+            busy.send(sip_request("CANCEL"))
             with self.assertRaises(EOFError):
                 await busy.next()
 
     async def test_half_a_message_keeps_its_connection_until_it_is_whole(self) -> None:
         daemon = await self.serve(ScriptedDesk())
         caller = await self.caller()
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         await caller.until(200)
         data = invite().encode()
         caller.send(data[:40])
@@ -149,14 +149,14 @@
         self.assertEqual(await self.call("POST", "/admin/resume"), (409, {"phase": "draining"}))
 
     async def test_callers_who_say_nothing_whole_do_not_keep_others_out(self) -> None:
-        with mock.patch.object(management, "MOST", 3):
+        with mock.patch.object(management, "MAX_CONNECTIONS", 3):
             daemon = await self.serve(ScriptedDesk())
-        mute = [await Peer.dial(self.operators) for _ in range(5)]
+        mute = [await Peer.connect(self.operators) for _ in range(5)]
         for one in mute:
             one.send(b"GET /admin/hea")
             self.addCleanup(one.close)
         self.assertEqual((await self.call("GET", "/admin/health"))[0], 200)
-        self.assertLessEqual(len(daemon.management.listener.open), 3)
+        self.assertLessEqual(len(daemon.management.listener.connections), 3)
 
     async def test_a_stop_of_the_listener_does_not_make_later_set_ups_seem_old(self) -> None:
         """Seen with the shared socket: the beat that tells a late process ended with the listener."""
@@ -164,7 +164,7 @@
         daemon.front.listener.stop()
         daemon.lifecycle.shared = True
         daemon.lifecycle.terminate(asyncio.get_running_loop().time())
-        daemon.front.tend(asyncio.get_running_loop().time())
+        daemon.front.apply_lifecycle(asyncio.get_running_loop().time())
         due = daemon.front.lag.due
         await self.eventually(lambda: daemon.front.lag.due > due)
 
@@ -188,14 +188,14 @@
         caller = await self.caller()
         caller.send(invite(dest=1))  # full there, stands at the other one
         await caller.until(200)
-        kept.script = silent
-        caller.send(invite("00000000000000a2", kind="b"))
+        kept.script = never_answer
+        caller.send(invite("00000000000000a2", call_class="b"))
         await kept.until("INVITE")
-        caller.send(invite("00000000000000a3", kind="b"))
+        caller.send(invite("00000000000000a3", call_class="b"))
         await kept.until("INVITE")
-        caller.send(invite("00000000000000a4", kind="b"))  # too many wait
+        caller.send(invite("00000000000000a4", call_class="b"))  # too many wait
         await caller.until(503)
-        caller.send(plain("CANCEL", "00000000000000a2"))  # counts nowhere: nobody was told anything
+        caller.send(sip_request("CANCEL", "00000000000000a2"))  # counts nowhere: nobody was told anything
         await kept.until("CANCEL")
         daemon.agent.give_up()
         await caller.until(500)
--- a/tests/test_members_daemon.py
+++ b/tests/test_members_daemon.py
@@ -18,7 +18,7 @@
 from seamlb.members.guard import Guard
 from seamlb.members.wire import Datagram, Item, Kind, Status
 from tests.fleet import ROOT, check_files, own_host
-from tests.loopback import PATIENCE
+from tests.loopback import HANG_TIMEOUT
 from tests.processes import log_events
 from tests.support import RAW
 
@@ -99,7 +99,7 @@
                     return False
         return True
 
-    async def until(self, true: Any, within: float = 3 * PATIENCE) -> None:
+    async def until(self, true: Any, within: float = 3 * HANG_TIMEOUT) -> None:
         async with asyncio.timeout(within):
             while not await true():
                 await asyncio.sleep(0.2)
--- a/tests/test_merged.py
+++ b/tests/test_merged.py
@@ -9,8 +9,8 @@
 from seamlb.discovery.consul import ConsulConfig
 from seamlb.extras import Plugins
 from seamlb.routing.model import Desk
-from tests.http_peers import Stand, http, notices
-from tests.loopback import Story, config
+from tests.http_peers import ScriptedHttpServer, http, notices
+from tests.loopback import DaemonTestCase, config
 
 READY, DRAINS, GONE = Availability.READY, Availability.DRAINING, Availability.GONE
 
@@ -68,18 +68,18 @@
     assert alone.last == (Scope.CACHED, {"a": READY})
 
 
-class Both(Story):
+class Both(DaemonTestCase):
     async def test_a_daemon_has_the_desks_of_both_and_drains_what_either_drains(self) -> None:
         release = asyncio.Event()
         drains: list[str] = []
 
-        async def board(stand: Stand, path: str) -> bytes | None:
+        async def board(stand: ScriptedHttpServer, path: str) -> bytes | None:
             if "watch=0" in path:
                 return http(notices(1, ("a", "Ready"), ("both", "Ready"), complete=True))
             await release.wait()
             return http(notices(2, ("both", "Terminating"))) if "watch=1" in path else await asyncio.Event().wait()
 
-        async def consul(stand: Stand, path: str) -> bytes | None:
+        async def consul(stand: ScriptedHttpServer, path: str) -> bytes | None:
             if "index=0" not in path:
                 await asyncio.Event().wait()
             one = {
@@ -93,7 +93,7 @@
             checks = [{"Node": {"Node": "n"}, "Service": {"ID": "c"}, "Checks": [{"Status": "passing"}]}]
             return http([one] if "catalog" in path else checks, index=1)
 
-        stands = [Stand(board), Stand(consul)]
+        stands = [ScriptedHttpServer(board), ScriptedHttpServer(consul)]
         addresses = [await one.start() for one in stands]
         daemon = Daemon(config(board=addresses[0]), Plugins(consul=ConsulConfig(addresses[1], "desks")))
         await daemon.start()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,12 +15,12 @@
 from seamlb.net.reason import CloseReason
 from seamlb.routing.agent import Clock
 from seamlb.routing.model import Desk
-from tests.loopback import Peer, ScriptedDesk, Story, config, invite, plain, silent
+from tests.loopback import DaemonTestCase, Peer, ScriptedDesk, config, invite, never_answer, sip_request
 from tests.support import LONG_TARGETS
-from tests.udp_peer import Udp
+from tests.udp_peer import UdpPeer
 
 
-class Ends(Story):
+class Ends(DaemonTestCase):
     async def pair(self, limit: int = 8, write_timeout: float = 5.0) -> tuple[Connection, Peer]:
         """Our side and a scripted peer's."""
         got: asyncio.Queue[Connection] = asyncio.Queue()
@@ -31,10 +31,10 @@
             await one.run(lambda data: None)
 
         listener = Listener("t", limit, accepted)
-        listener.start_at("127.0.0.1:0")
+        listener.bind_and_listen("127.0.0.1:0")
         self.addCleanup(listener.stop)
         self.address = f"127.0.0.1:{listener.port}"
-        peer = await Peer.dial(self.address)
+        peer = await Peer.connect(self.address)
         self.addCleanup(peer.close)
         return await got.get(), peer
 
@@ -66,10 +66,12 @@
 
     async def test_at_the_limit_idle_connections_give_way_those_first_that_never_asked(self) -> None:
         # Hundreds that said nothing, or had asked once and stayed, shut good callers out.
-        daemon = await self.start(ScriptedDesk(silent), limits={"sockets": 9}, settings=LONG_TARGETS)  # 3 callers
+        daemon = await self.start(
+            ScriptedDesk(never_answer), limits={"sockets": 9}, settings=LONG_TARGETS
+        )  # 3 callers
         busy, asked, silent_one = await self.caller(), await self.caller(), await self.caller()
         busy.send(invite())
-        asked.send(plain("OPTIONS", "t"))
+        asked.send(sip_request("OPTIONS", "t"))
         await asked.until(200)
         await self.eventually(lambda: len(daemon.front.calls) == 1)
         for gone, why in ((silent_one, "evicted"), (asked, "evicted"), (None, "limit")):
@@ -89,7 +91,7 @@
         with mock.patch.object(connection, "MESSAGE_WITHIN", 0.05):
             await self.start(ScriptedDesk())
             callers = [await self.caller() for _ in range(4)]
-            whole = plain("OPTIONS", "t").encode()
+            whole = sip_request("OPTIONS", "t").encode()
             for caller, said in zip(callers, (b"", whole[:40], whole + whole[:40], whole), strict=True):
                 caller.send(said)
             for caller in callers[:3]:
@@ -117,11 +119,11 @@
         daemon = await self.start(ScriptedDesk())
         caller, other = await self.caller(), await self.caller()
         with mock.patch.object(daemon.front, "_request", side_effect=ZeroDivisionError):
-            caller.send(plain("OPTIONS"))
+            caller.send(sip_request("OPTIONS"))
             with self.assertRaises(EOFError):
                 await caller.next()
         self.assertEqual((self.reasons(), len(self.events("fault"))), (["error"], 1))
-        other.send(plain("OPTIONS"))
+        other.send(sip_request("OPTIONS"))
         self.assertEqual((await other.next()).status, 200)
 
 
@@ -145,12 +147,12 @@
             one.close()
 
 
-class Unreachable(Story):
+class Unreachable(DaemonTestCase):
     async def test_a_desk_that_lets_nobody_in_costs_its_connect_time_and_nothing_ran(self) -> None:
         daemon = await self.start()
         with Deaf() as address:
             daemon.agent.list_changed(api.Scope.DELTA, [self.desk(0, address)])
-            self.warm(daemon, 0)
+            self.fill_budget(daemon, 0)
             seen: list[api.Event] = []
             handle = daemon.agent.module.handle
             daemon.agent.module.handle = lambda now, e: seen.append(e) or handle(now, e)
@@ -161,9 +163,9 @@
             self.assertEqual(ended.status, api.Status.CONNECT_FAILED)
 
 
-class Peers(Story):
+class Peers(DaemonTestCase):
     async def test_messages_go_to_one_or_all_and_none_is_over_256_bytes(self) -> None:
-        one, everyone, stranger = await Udp.bind(), await Udp.bind(), await Udp.bind()
+        one, everyone, stranger = await UdpPeer.bind(), await UdpPeer.bind(), await UdpPeer.bind()
         for udp in (one, everyone, stranger):
             self.addCleanup(udp.close)
             udp.datagram_received = lambda data, addr, udp=udp: udp.got.put_nowait((data, addr))
@@ -193,7 +195,7 @@
         self.assertEqual(seen, [api.PeerMessage(1, b"hi")])
 
 
-class LongDays(Story):
+class LongDays(DaemonTestCase):
     async def test_of_thousands_of_desks_that_came_and_went_nothing_remains(self) -> None:
         desk = ScriptedDesk()
         daemon = await self.start(desk)
@@ -230,7 +232,7 @@
         await self.eventually(lambda: len(desks.tasks) <= 2 and len(agent.tasks) == 0)  # one keeper, one reader
 
 
-class Clocks(Story):
+class Clocks(DaemonTestCase):
     def test_the_modules_clock_never_goes_back(self) -> None:
         clock = Clock()
         first = clock.now()
--- a/tests/test_paused_process.py
+++ b/tests/test_paused_process.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.loopback import PATIENCE, SDP, Peer, ScriptedDesk, invite, reply, silent
+from tests.loopback import HANG_TIMEOUT, SDP, Peer, ScriptedDesk, invite, never_answer, reply
 from tests.processes import ProcessStory
 from tests.support import LONG_TARGETS, RAW
 
@@ -25,14 +25,14 @@
         path.write_text(json.dumps({"settings": settings, "known": known, "listen": listen}))
         agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
         await self.line(agent, '"serving"')
-        caller = await Peer.dial(listen)
+        caller = await Peer.connect(listen)
         self.addCleanup(caller.close)
         self.addAsyncCleanup(desk.stop)
         return agent, caller
 
     async def test_a_call_whose_answer_comes_during_the_pause_stands_and_the_next_one_goes_there_too(self) -> None:
         # Guards against taking the pause for the server's silence.
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         agent, caller = await self.paused(LONG_TARGETS, desk)
         for number in range(2):
             ident = f"{number:016x}"
@@ -45,11 +45,11 @@
             answer = await caller.next()
             self.assertEqual((answer.status, answer.get("call-id")), (200, ident))
         agent.terminate()
-        self.assertEqual(await asyncio.wait_for(agent.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
 
     async def test_the_next_call_goes_to_a_server_whose_set_up_was_out_during_the_pause(self) -> None:
         # Guards against counting time in which nobody could have read an answer as the server's silence (STALL_MS).
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         agent, caller = await self.paused({}, desk)
         caller.send(invite("00000000000000a1", timer=6000))
         await desk.until("INVITE")
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -7,7 +7,7 @@
 from seamlb.desks.link import DEAF
 from seamlb.net import connection
 from seamlb.protocol.sip import Message
-from tests.loopback import SDP, ScriptedDesk, Story, bye, invite, plain, reply, silent
+from tests.loopback import SDP, DaemonTestCase, ScriptedDesk, bye, invite, never_answer, reply, sip_request
 
 ID = "00000000000000a1"
 
@@ -18,10 +18,10 @@
     return Message("NOTIFY", "sip:exchange@net", headers=headers)
 
 
-class Pauses(Story):
+class Pauses(DaemonTestCase):
     async def test_an_answer_that_came_meanwhile_is_no_time_out(self) -> None:
         # Guards a call that stands at its server from being given up by the attempt's timer.
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
         caller.send(invite(timer=100))
@@ -31,12 +31,12 @@
         self.assertEqual((await caller.next()).status, 200)
         desk.peers[0].send(bye(ID, 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
-        seen = [desk.seen.get_nowait().method for _ in range(desk.seen.qsize())]
+        seen = [desk.received.get_nowait().method for _ in range(desk.received.qsize())]
         self.assertNotIn("CANCEL", seen)
 
     async def test_an_answer_whose_rest_came_meanwhile_is_whole_in_time(self) -> None:
         # Guards the set-ups and calls of a server's connection from its timer of half messages.
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
@@ -63,7 +63,7 @@
 
     async def test_a_connection_on_which_an_answer_came_meanwhile_is_not_silent(self) -> None:
         # Guards a set-up from the timer that ends connections on which the server tells nothing.
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
@@ -85,7 +85,7 @@
         self.enterContext(mock.patch.object(connection, "MESSAGE_WITHIN", 0.2))
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
-        whole = plain("OPTIONS", "t").encode()
+        whole = sip_request("OPTIONS", "t").encode()
         caller.send(whole[:10])
         await self.eventually(lambda: any(one.framer.data for one in daemon.front.clients))
         caller.send(whole[10:11])
--- a/tests/test_plan_daemon.py
+++ b/tests/test_plan_daemon.py
@@ -11,7 +11,7 @@
 from seamlb.planning.files import load_problem
 from seamlb.planning.plan_files import save_plan
 from seamlb.planning.solve import solve
-from tests.loopback import ScriptedDesk, Story, config, invite
+from tests.loopback import DaemonTestCase, ScriptedDesk, config, invite
 from tests.support import RAW
 
 PROBLEM = """
@@ -46,7 +46,7 @@
 TABLE = '[plan]\nfile = "plan.toml"\nproblem = "problem.toml"\n'
 
 
-class PlanStory(Story):
+class PlanStory(DaemonTestCase):
     """Files in a folder of their own, and an agent between two desks."""
 
     def setUp(self) -> None:
@@ -75,7 +75,7 @@
         daemon.agent.list_changed(api.Scope.CACHED, self.listed)
         for place in range(len(desks)):
             await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
-            self.warm(daemon, place)
+            self.fill_budget(daemon, place)
         return daemon
 
     async def call(self, ident: str) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -2,12 +2,23 @@
 
 from seamlb import api
 from seamlb.protocol.sip import Message
-from tests.loopback import SDP, Peer, ScriptedDesk, Story, bye, invite, plain, refuse, reply, silent
+from tests.loopback import (
+    SDP,
+    DaemonTestCase,
+    Peer,
+    ScriptedDesk,
+    bye,
+    invite,
+    never_answer,
+    refuse,
+    reply,
+    sip_request,
+)
 
 ID = "00000000000000a1"
 
 
-class Calls(Story):
+class Calls(DaemonTestCase):
     async def test_a_call_stands_and_its_release_reaches_the_caller(self) -> None:
         desk = ScriptedDesk()
         await self.start(desk)
@@ -32,7 +43,7 @@
         self.assertEqual((await caller.until(200)).body, SDP)
         await full.until("ACK")
         await free.until("ACK")
-        self.assertTrue(free.seen.empty(), "a BYE would have taken the call down")
+        self.assertTrue(free.received.empty(), "a BYE would have taken the call down")
 
     async def test_statuses_become_outcomes(self) -> None:
         for status, note, ends in (
@@ -67,7 +78,7 @@
         told = await caller.next()
         self.assertEqual((told.status, told.get("call-id")), (503, ID))
         await first.until("BYE")  # the answer that came after all is taken down
-        self.assertTrue(second.seen.empty())
+        self.assertTrue(second.received.empty())
 
     async def test_an_answer_that_stops_short_is_not_filled_up_with_the_next(self) -> None:
         """Seen: a caller got a description that no desk had made, the next message's bytes in it."""
@@ -89,7 +100,7 @@
         caller = await self.caller()
         caller.send(invite())
         await caller.until(200)
-        desk.script = silent
+        desk.script = never_answer
         caller.send(invite("00000000000000a2", timer=5000))
         broken = await desk.until("INVITE")
         broken = await desk.until("INVITE")
@@ -121,7 +132,7 @@
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
     async def test_an_answer_that_crosses_our_cancel_is_acked_and_released(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
         caller.send(invite(timer=50))
@@ -141,7 +152,7 @@
 
     async def test_an_agent_that_holds_all_it_may_says_when_to_come_back(self) -> None:
         limits = {"AttemptsCap": 4, "MaxRetryAfter": 2000.0, "MaxOpen": 1}
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         await self.start(desk, settings={"Limits": limits})
         caller = await self.caller()
         caller.send(invite())
@@ -150,12 +161,12 @@
         self.assertEqual((await caller.until(503)).get("retry-after"), "1")
 
     async def test_a_caller_that_gives_up_cancels_the_attempt(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
         await desk.until("INVITE")
-        caller.send(plain("CANCEL"))
+        caller.send(sip_request("CANCEL"))
         await desk.until("CANCEL")
         await self.eventually(lambda: self.events("call_end"))
         self.assertEqual(self.events("call_end")[0]["result"], "left")
@@ -167,7 +178,7 @@
         first.send(invite())
         await first.until(200)
         first.close()
-        second.send(plain("BYE", ID, ("Reason", "Q.850;cause=16")))
+        second.send(sip_request("BYE", ID, ("Reason", "Q.850;cause=16")))
         await second.until(200)
         await desk.until("BYE")
 
@@ -183,9 +194,9 @@
         await self.eventually(lambda: daemon.front.releases.pending)
         mute, caller = await self.caller(), await self.caller()  # told to one that never asked it would be lost
         await self.eventually(lambda: len(daemon.front.clients) == 2)
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
-        mute.send(plain("OPTIONS", "t"))
+        mute.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await mute.next()).status, 200)
 
     async def test_in_a_crowd_releases_and_places_are_kept_for_callers_that_were_served(self) -> None:
@@ -196,10 +207,10 @@
         for caller, ident in ((first, ID), (second, "00000000000000a2")):
             caller.send(invite(ident))
             await caller.until(200)
-            caller.send(plain("ACK", ident))
+            caller.send(sip_request("ACK", ident))
         for _ in range(4):
             crowd = await self.caller()
-            crowd.send(plain("OPTIONS", "t"))
+            crowd.send(sip_request("OPTIONS", "t"))
             await crowd.until(200)
         self.assertEqual([one["reason"] for one in self.events("connection_end")], ["evicted"] * 3)
         first.close()
@@ -211,13 +222,13 @@
         desk = ScriptedDesk()
         await self.start(desk)
         caller = await self.caller()
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         await caller.until(200)
         desk.peers[0].send(bye("feedfeedfeedfeed", 16))
         self.assertEqual((await caller.until("BYE")).get("call-id"), "feedfeedfeedfeed")
 
     async def test_a_stall_of_this_process_does_not_stretch_the_callers_time(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         daemon.front.lag.stop()
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -5,14 +5,25 @@
 
 from seamlb import api
 from seamlb.protocol.sip import Message
-from tests.loopback import PATIENCE, SDP, Peer, ScriptedDesk, Story, bye, invite, plain, reply, silent
+from tests.loopback import (
+    HANG_TIMEOUT,
+    SDP,
+    DaemonTestCase,
+    Peer,
+    ScriptedDesk,
+    bye,
+    invite,
+    never_answer,
+    reply,
+    sip_request,
+)
 from tests.support import LONG_TARGETS, RAW
 
 ID = "00000000000000a1"
 
 
-class Faults(Story):
-    @mock.patch("seamlb.desks.reader.PART_WITHIN", PATIENCE)  # on a busy machine a dripping answer takes longer
+class Faults(DaemonTestCase):
+    @mock.patch("seamlb.desks.reader.PART_WITHIN", HANG_TIMEOUT)  # on a busy machine a dripping answer takes longer
     async def test_a_whole_exchange_in_single_bytes(self) -> None:
         async def drip(peer: Peer, *messages: Message) -> None:
             for data in (message.encode() for message in messages):
@@ -27,7 +38,7 @@
         tasks = len(asyncio.all_tasks())
         caller = await self.caller()
         for ident in (ID, "00000000000000a2"):
-            await drip(caller, invite(ident), plain("OPTIONS", "t"))
+            await drip(caller, invite(ident), sip_request("OPTIONS", "t"))
             told = [await caller.next() for _ in range(3)]
             self.assertEqual({(one.method, one.status) for one in told}, {("", 200), ("BYE", 0)})
             self.assertIn(SDP, [one.body for one in told])
@@ -55,14 +66,14 @@
         self.assertEqual(daemon.agent.unanswered, 0)
 
 
-class BadInput(Story):
+class BadInput(DaemonTestCase):
     async def test_bad_messages_get_a_definite_answer(self) -> None:
         await self.start(ScriptedDesk())
         caller = await self.caller()
         for bad, status in (
-            (invite(kind="nobody"), 400),
-            (plain("PUBLISH"), 405),
-            (plain("BYE", "unknown"), 481),
+            (invite(call_class="nobody"), 400),
+            (sip_request("PUBLISH"), 405),
+            (sip_request("BYE", "unknown"), 481),
             (b"INVITE sip:1@net SIP/2.0\r\nVia: x\r\nCall-ID: 1\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n", 400),
             (b"INVITE sip:1@net SIP/3.0\r\nVia: x\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n", 505),
         ):
@@ -97,7 +108,7 @@
         # A close with input unread resets the connection, and the refusal was lost with it.
         await self.start(ScriptedDesk())
         caller = await self.caller()
-        caller.send(plain("INVITE").encode().replace(b"Content-Length: 0", b"Content-Length: 60000000"))
+        caller.send(sip_request("INVITE").encode().replace(b"Content-Length: 0", b"Content-Length: 60000000"))
         for _ in range(64):
             caller.send(b"x" * 65536)
             await caller.writer.drain()
@@ -106,7 +117,7 @@
             await caller.next()
 
     async def test_an_id_used_twice_on_a_connection_gets_one_answer_and_no_second_attempt(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
@@ -118,19 +129,19 @@
         await self.eventually(lambda: self.events("call_end"))
         caller.send(invite())
         self.assertEqual((await caller.next()).status, 482)
-        self.assertTrue(desk.seen.empty())
+        self.assertTrue(desk.received.empty())
 
     async def test_one_caller_ends_no_set_up_of_another(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller, other = await self.caller(), await self.caller()
         caller.send(invite())
         sent = await desk.until("INVITE")
-        for message, status in ((invite(), 482), (plain("BYE"), 481)):
+        for message, status in ((invite(), 482), (sip_request("BYE"), 481)):
             other.send(message)
             self.assertEqual((await other.next()).status, status)
-        other.send(plain("CANCEL"))
-        other.send(plain("OPTIONS", "t"))
+        other.send(sip_request("CANCEL"))
+        other.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await other.next()).status, 200)
         self.assertEqual(len(daemon.front.calls), 1)
         await ScriptedDesk().script(desk.peers[0], sent)
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -12,12 +12,23 @@
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Message
 from seamlb.routing.model import Answer, Attempt
-from tests.loopback import PATIENCE, SDP, Peer, ScriptedDesk, Story, bye, invite, plain, reply, silent
+from tests.loopback import (
+    HANG_TIMEOUT,
+    SDP,
+    DaemonTestCase,
+    Peer,
+    ScriptedDesk,
+    bye,
+    invite,
+    never_answer,
+    reply,
+    sip_request,
+)
 
 ID = "00000000000000a1"
 
 
-class Desks(Story):
+class Desks(DaemonTestCase):
     async def test_a_connection_lost_before_the_answer_is_a_reset_and_the_call_goes_on(self) -> None:
         async def breaks(peer, _invite):
             peer.reset()
@@ -48,7 +59,7 @@
         daemon.agent.list_changed(api.Scope.DELTA, [gone, self.desk(7, desk.address)])
         await self.eventually(lambda: len(desk.peers) == 2)
         self.assertEqual(list(daemon.desks.links), ["d7"])
-        self.warm(daemon, 1)
+        self.fill_budget(daemon, 1)
         caller = await self.caller()
         caller.send(invite(dest=7))
         await caller.until(200)
@@ -61,7 +72,7 @@
         caller = await self.caller()
         caller.send(invite())
         await caller.until(503)
-        self.assertTrue(desk.seen.empty())
+        self.assertTrue(desk.received.empty())
 
     async def test_what_stood_at_a_desk_that_is_gone_is_cut_on_both_sides(self) -> None:
         desk = ScriptedDesk()
@@ -109,13 +120,13 @@
         caller = await self.caller()
         caller.send(invite())
         self.assertEqual((await caller.next()).body, SDP)
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await caller.next()).cseq()[1], "OPTIONS")  # no second answer in between
         desk.peers[0].send(bye(ID, 16))
         await caller.until("BYE")
         sent = []
-        while not desk.seen.empty():
-            sent.append(desk.seen.get_nowait())
+        while not desk.received.empty():
+            sent.append(desk.received.get_nowait())
         self.assertEqual(
             {(one.method, one.get("call-id")) for one in sent if one.method}, {("INVITE", ID), ("ACK", ID)}
         )
@@ -123,7 +134,7 @@
     async def test_a_connection_on_which_nothing_comes_is_left_when_the_desk_tells_its_state_on_another(self) -> None:
         # Its set-ups waited for their time-outs, which the module took for a jam of a desk that answered
         # all the time on other connections.
-        desk, other = ScriptedDesk(silent), ScriptedDesk()
+        desk, other = ScriptedDesk(never_answer), ScriptedDesk()
         daemon = await self.start(desk, other)
         caller = await self.caller()
         caller.send(invite(timer=9000))
@@ -142,16 +153,16 @@
         await caller.until(200)
         link = daemon.desks.links["d0"]
         (first,) = link.open
-        first.message_within = PATIENCE
-        link.open.append(await connect(desk.address, "desk", PATIENCE))
+        first.message_within = HANG_TIMEOUT
+        link.open.append(await connect(desk.address, "desk", HANG_TIMEOUT))
         release = bye(ID, 16).encode()
         sent = 40 if half_read else len(release)
         desk.peers[0].send(release[:sent])
         if half_read:
             await self.eventually(first.in_use)
         else:
-            until = time.monotonic() + PATIENCE
-            while not first.unread() and time.monotonic() < until:
+            until = time.monotonic() + HANG_TIMEOUT
+            while not first.has_unread_data() and time.monotonic() < until:
                 time.sleep(0.001)  # the system may take its time; the agent, which is in this loop, must not read it
         replace(link)
         desk.peers[0].send(release[sent:])
@@ -188,7 +199,7 @@
         self.assertEqual(heard, [Answer(SDP)])
 
     async def test_a_desk_that_hangs_is_left_though_its_connections_come_up(self) -> None:
-        hangs, good = ScriptedDesk(silent), ScriptedDesk()
+        hangs, good = ScriptedDesk(never_answer), ScriptedDesk()
         daemon = await self.start(hangs, good)
         hangs.mute = True
         caller = await self.caller()
--- a/tests/test_plugin_daemon.py
+++ b/tests/test_plugin_daemon.py
@@ -17,7 +17,7 @@
 from seamlb.plugins.control import MOST_CLIENTS
 from seamlb.plugins.service import PluginService
 from seamlb.subsystems.rules import RulesPart
-from tests.loopback import Peer, ScriptedDesk, Story, config, invite, refuse
+from tests.loopback import DaemonTestCase, Peer, ScriptedDesk, config, invite, refuse
 from tests.support import RAW
 from tests.test_plugins import FAULTY
 
@@ -29,7 +29,7 @@
     return next(part.service for part in daemon.parts if isinstance(part, RulesPart))
 
 
-class PluginStory(Story):
+class PluginStory(DaemonTestCase):
     def setUp(self) -> None:
         super().setUp()
         folder = tempfile.TemporaryDirectory()
@@ -54,7 +54,7 @@
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(k, await d.start()) for k, d in enumerate(desks)])
         for place in range(len(desks)):
             await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
-            self.warm(daemon, place)
+            self.fill_budget(daemon, place)
         return daemon
 
     async def call(self, number: int, status: int = 200) -> None:
@@ -80,7 +80,7 @@
         await self.call(1)
         sent = await second.until("INVITE")
         self.assertEqual(sent.get("x-cos"), "b")
-        self.assertTrue(first.seen.empty())
+        self.assertTrue(first.received.empty())
 
     async def test_a_draining_or_unknown_desk_is_never_preferred(self) -> None:
         first, second = ScriptedDesk(), ScriptedDesk()
@@ -88,7 +88,7 @@
         daemon.agent.list_changed(api.Scope.DELTA, [self.desk(1, second.address, phase=2)])
         await self.call(1)
         await first.until("INVITE")
-        self.assertTrue(second.seen.empty())
+        self.assertTrue(second.received.empty())
 
     async def test_standing_is_an_office_of_its_own_that_no_caller_can_name(self) -> None:
         self.write("plugin p version 1\nrule c on classify then precedence")
@@ -129,7 +129,7 @@
         await self.call(1)
         await first.until("INVITE")
         await second.until("INVITE")
-        self.assertNotIn("INVITE", [second.seen.get_nowait().method for _ in range(second.seen.qsize())])
+        self.assertNotIn("INVITE", [second.received.get_nowait().method for _ in range(second.received.qsize())])
 
 
 class Reloaded(PluginStory):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,8 +12,8 @@
 from click.testing import CliRunner
 
 from seamlb.cli import main
-from tests.http_peers import Stand, http, notices
-from tests.loopback import PATIENCE, SDP, Peer, ScriptedDesk, invite, silent
+from tests.http_peers import ScriptedHttpServer, http, notices
+from tests.loopback import HANG_TIMEOUT, SDP, Peer, ScriptedDesk, invite, never_answer
 from tests.processes import ProcessStory
 from tests.support import RAW
 
@@ -31,7 +31,7 @@
 
 class Processes(ProcessStory):
     async def test_sigterm_answers_what_was_taken_then_exits(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         member = {"id": "d", "host_port": await desk.start(), "cell": 0, "phase": "Ready"}
         known = {"rev": 1, "notices": [{"rev": 1, "pool": {"complete": True, "members": [member]}}]}
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
@@ -39,33 +39,33 @@
         listen = await self.free_address()
         agent = await self.process("-m", "seamlb", GW_CONFIG=str(path), GW_LISTEN=listen, GW_NAME="n7")
         self.assertIn('"name":"n7"', await self.line(agent, '"serving"'))
-        caller = await Peer.dial(listen)
+        caller = await Peer.connect(listen)
         caller.send(invite(timer=1500))
-        patient = await Peer.dial(listen)
+        patient = await Peer.connect(listen)
         patient.send(invite("00000000000000a3", timer=9000))
         for _ in range(2):
             await desk.until("INVITE")
         agent.send_signal(signal.SIGTERM)
         await self.line(agent, '"draining"')
-        late = await Peer.dial(listen)
+        late = await Peer.connect(listen)
         late.send(invite("00000000000000a2", timer=100))
         self.assertEqual((await late.next()).status, 503)
         self.assertEqual((await caller.next()).status, 503)
         self.assertEqual((await patient.next()).status, 500)  # the drain ends by itself, before its time is over
         await self.line(agent, '"drain_late"')
         await self.line(agent, '"ended"')
-        self.assertEqual(await asyncio.wait_for(agent.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
         for one in (late, caller, patient):
             one.close()
         await desk.stop()
 
     async def test_sighup_moves_the_board_and_never_ends_the_process(self) -> None:
-        async def board(stand: Stand, path: str) -> bytes | None:
+        async def board(stand: ScriptedHttpServer, path: str) -> bytes | None:
             if len(stand.paths) > 1:
                 await asyncio.Event().wait()
             return http(notices(3 + boards.index(stand), ("d", "Ready"), complete=True))
 
-        boards = [Stand(board), Stand(board)]
+        boards = [ScriptedHttpServer(board), ScriptedHttpServer(board)]
         addresses = [await one.start() for one in boards]
         listen = await self.free_address()
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
@@ -82,14 +82,14 @@
         self.assertIn('"waits_for_restart":["name"]', await self.line(agent, '"reloaded"'))
         await self.eventually(lambda: len(boards[1].paths) == 2)
         self.assertIn("watch=3", boards[1].paths[0])
-        caller = await Peer.dial(listen)
+        caller = await Peer.connect(listen)
         caller.send(invite(timer=100))  # keeps the drain going for a moment
         agent.send_signal(signal.SIGTERM)
         await self.line(agent, '"draining"')
         agent.send_signal(signal.SIGHUP)
         await self.line(agent, '"reloaded"')
         self.assertEqual((await caller.next()).status, 503)
-        self.assertEqual(await asyncio.wait_for(agent.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
         caller.close()
         for one in boards:
             one.server.close()
@@ -125,22 +125,22 @@
             return process
 
         old = await agent()
-        first = await Peer.dial(listen)
+        first = await Peer.connect(listen)
         first.send(invite())
         self.assertEqual((await first.until(200)).body, SDP)
         new = await agent()  # the peers' address is bound twice now
         old.send_signal(signal.SIGTERM)
         await self.line(old, '"draining"')
-        second = await Peer.dial(listen)
+        second = await Peer.connect(listen)
         second.send(invite("00000000000000a2"))
         self.assertEqual((await second.until(200)).body, SDP)
         with self.assertRaises(EOFError):  # sent away at rest, before its process ends
             await first.next()
-        self.assertEqual(await asyncio.wait_for(old.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(old.wait(), HANG_TIMEOUT), 0)
         second.send(invite("00000000000000a3"))
         self.assertEqual((await second.until(200)).body, SDP)
         new.send_signal(signal.SIGTERM)
-        self.assertEqual(await asyncio.wait_for(new.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(new.wait(), HANG_TIMEOUT), 0)
         for one in (first, second):
             one.close()
         held.close()
@@ -161,7 +161,7 @@
             path.write_text(json.dumps({"settings": RAW, "listen": "{}:{}".format(*taken.getsockname())}))
             agent = await self.process("-m", "seamlb", "serve", "--config", str(path), GW_INHERITED_FD="987")
             self.assertIn("in use", await self.line(agent, "seamlb: "))
-            self.assertEqual(await asyncio.wait_for(agent.wait(), PATIENCE), 2)
+            self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 2)
 
     async def test_the_admin_commands_say_yes_and_no(self) -> None:
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
@@ -194,9 +194,9 @@
         call = await self.process("examples/toy.py", "call", "alert-confirm")
         self.assertIn("toy desk", await self.line(call, "SIP/2.0 200"))
         await self.line(call, "BYE")
-        self.assertEqual(await asyncio.wait_for(call.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(call.wait(), HANG_TIMEOUT), 0)
         agent.send_signal(signal.SIGTERM)
-        self.assertEqual(await asyncio.wait_for(agent.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
 
     @unittest.skipUnless(Path("/proc/net/unix").exists(), "needs /proc to look at sockets")
     async def test_a_unix_socket_listened_on_is_seen(self) -> None:  # so that the look below can fail
@@ -217,7 +217,7 @@
             "-m", "seamlb", GW_CONFIG=str(path), GW_LISTEN=listen, GW_MANAGEMENT=management, GW_NAME="n1"
         )
         await self.line(agent, '"serving"')
-        caller = await Peer.dial(listen)  # one caller, so that what a connection opens is seen too
+        caller = await Peer.connect(listen)  # one caller, so that what a connection opens is seen too
         caller.send(invite(timer=300))
         self.assertIn((await caller.next()).status, (500, 503))
         proc = Path(f"/proc/{agent.pid}")
@@ -238,4 +238,4 @@
         self.assertGreaterEqual(len(sockets & tcp), 3, targets)  # callers', operators' and the caller's connection
         caller.close()
         agent.send_signal(signal.SIGTERM)
-        self.assertEqual(await asyncio.wait_for(agent.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.callers import Callers
+from tests.callers import OpenLoopCallers
 from tests.fleet import Fleet, bad
 
 RATE = 80.0  # calls a second over the whole fleet
@@ -22,7 +22,7 @@
         fleet = Fleet(Path(self.enterContext(tempfile.TemporaryDirectory())), size, injected=injected)
         self.addAsyncCleanup(fleet.stop)
         await fleet.start(**environment)
-        self.callers = Callers(list(fleet.listens.values()), RATE)
+        self.callers = OpenLoopCallers(list(fleet.listens.values()), RATE)
         self.addAsyncCleanup(self.callers.stop)
         return fleet
 
@@ -54,8 +54,8 @@
         self.assertEqual(set(fleet.serving()), {revision})
         self.assertEqual([fleet.runs(name) for name in fleet.at], [revision] * fleet.size)
         self.assertEqual((self.callers.lost, fleet.doubled), ([], []))
-        self.assertGreater(self.callers.ends["fulfilled"], 100)
-        self.assertLessEqual(self.callers.ends.keys(), {"fulfilled", "refused"})
+        self.assertGreater(self.callers.outcomes["fulfilled"], 100)
+        self.assertLessEqual(self.callers.outcomes.keys(), {"fulfilled", "refused"})
 
     async def test_a_change_and_its_roll_back_lose_no_call_and_a_second_conductor_is_refused(self) -> None:
         fleet = await self.fleet(6)
@@ -113,7 +113,7 @@
         await self.callers.stop()
         self.assertEqual(fleet.doubled, [])
         # What a process had when it crashed is lost with it, and only that: the queue waits in the keeper's socket.
-        self.assertLess(len(self.callers.lost), 0.05 * self.callers.ends.total())
+        self.assertLess(len(self.callers.lost), 0.05 * self.callers.outcomes.total())
 
     async def test_conductors_and_an_agent_killed_in_the_middle(self) -> None:
         fleet = await self.fleet()
@@ -191,8 +191,8 @@
         self.assertEqual(fleet.events("a0", "orphans")[0]["pids"], [orphan])
         self.assertEqual(fleet.runs("a0"), "new")
         self.assertNotEqual(fleet.agent("a0"), orphan)
-        served = self.callers.ends["fulfilled"]
-        await fleet.until(lambda: self.callers.ends["fulfilled"] > served + 40)
+        served = self.callers.outcomes["fulfilled"]
+        await fleet.until(lambda: self.callers.outcomes["fulfilled"] > served + 40)
         await self.callers.stop()
         self.assertEqual(fleet.doubled, [])
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 from seamlb.daemon import Daemon
 from seamlb.extras import Plugins
 from seamlb.policy.controller import Controller
-from tests.loopback import ScriptedDesk, Story, invite, silent
+from tests.loopback import DaemonTestCase, ScriptedDesk, invite, never_answer
 from tests.support import RAW, demand, ended, listed, sent_to, settings
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -123,7 +123,7 @@
                 yield path, [*value[:place], less, *value[place + 1 :]]
 
 
-class Reloads(Story):
+class Reloads(DaemonTestCase):
     async def serve(self, **change: Any) -> tuple[Daemon, ScriptedDesk]:
         self.path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         self.good: dict[str, Any] = {"listen": "127.0.0.1:0", "limits": {"sockets": 100}, "settings": RAW}
@@ -157,17 +157,17 @@
     async def test_a_class_comes_and_another_goes(self) -> None:
         daemon, desk = await self.serve()
         caller = await self.caller()
-        caller.send(invite("00000000000000a0", kind="c"))
+        caller.send(invite("00000000000000a0", call_class="c"))
         await caller.until(400)
-        desk.script = silent
-        caller.send(invite(kind="a"))
+        desk.script = never_answer
+        caller.send(invite(call_class="a"))
         waits = await desk.until("INVITE")
         self.write(self.good | {"settings": RAW | {"Classes": [B, C]}})
         daemon.reload()
-        caller.send(invite("00000000000000a2", kind="a"))
+        caller.send(invite("00000000000000a2", call_class="a"))
         await caller.until(400)
         desk.script = ScriptedDesk().script
-        caller.send(invite("00000000000000a3", kind="c"))
+        caller.send(invite("00000000000000a3", call_class="c"))
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a3")
         await ScriptedDesk().script(desk.peers[0], waits)  # the one that was open is answered as ever
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a1")
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -12,7 +12,7 @@
 import unittest
 from pathlib import Path
 
-from tests.loopback import PATIENCE, Peer, ScriptedDesk, Story, invite, silent
+from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, invite, never_answer
 from tests.processes import ROOT, ProcessStory
 from tests.support import RAW
 
@@ -34,7 +34,7 @@
 class Starts(ProcessStory):
     async def pipe_read(self, path: Path) -> int:
         """The writing end of a pipe, once the process has it open and waits for what it holds."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(HANG_TIMEOUT):
             while True:
                 try:
                     return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
@@ -55,7 +55,7 @@
         await self.line(agent, '"reloaded"')
         agent.send_signal(signal.SIGTERM)
         await self.line(agent, '"ended"')
-        self.assertEqual(await asyncio.wait_for(agent.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
 
 
 class Drains(ProcessStory):
@@ -65,7 +65,7 @@
         path.write_text(json.dumps({"settings": RAW, "listen": listen}))
         agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
         await self.line(agent, '"serving"')
-        caller, idle = await Peer.dial(listen), await Peer.dial(listen)
+        caller, idle = await Peer.connect(listen), await Peer.connect(listen)
         whole = invite().encode()
         agent.send_signal(signal.SIGTERM)
         await self.line(agent, '"draining"')
@@ -75,14 +75,14 @@
         caller.send(whole[40:])
         self.assertEqual((await caller.next()).status, 503)  # there is no server
         await self.line(agent, '"ended"')
-        self.assertEqual(await asyncio.wait_for(agent.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
         caller.close()
         idle.close()
 
 
-class Crossings(Story):
+class Crossings(DaemonTestCase):
     async def test_a_set_up_that_is_not_yet_read_keeps_its_connection_and_the_process(self) -> None:
-        daemon = await self.start(ScriptedDesk(silent))
+        daemon = await self.start(ScriptedDesk(never_answer))
         caller = await self.caller()
         await self.eventually(lambda: daemon.front.clients)
         now = asyncio.get_running_loop().time()
@@ -104,6 +104,6 @@
         caller.sendall(invite().encode())
         daemon.front.listener.stop()
         caller.setblocking(False)
-        told = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(caller, 65536), PATIENCE)
+        told = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(caller, 65536), HANG_TIMEOUT)
         self.assertTrue(told.startswith(b"SIP/2.0 200"))
         caller.close()
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -4,13 +4,13 @@
 
 from seamlb.protocol.sip import Message, parameter
 from tests.loopback import SDP, Peer
-from tests.sip_peers import SipCaller, SipStory
-from tests.udp_peer import Udp
+from tests.sip_peers import SipCaller, SipTestCase
+from tests.udp_peer import UdpPeer
 
 MIX = ("ok1", "486", "480", "504", "500", "ok2", "ok3", "503", "slow")  # what makes the module gap comes last
 
 
-class BothTransports(SipStory):
+class BothTransports(SipTestCase):
     async def outcomes(self, transport: str) -> list[tuple[int, bytes, str]]:
         """The final answers to one mix of calls, and how each call ended."""
         daemon = await self.start_sip()
@@ -40,7 +40,7 @@
         self.assertEqual((await caller.invite("drop")).status, 503)  # lost before the answer
 
 
-class Invites(SipStory):
+class Invites(SipTestCase):
     async def test_a_retransmitted_invite_is_never_a_second_attempt(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "udp")
@@ -100,7 +100,7 @@
         self.assertTrue(parameter(answer.get("to"), "tag"))
 
 
-class Dialogs(SipStory):
+class Dialogs(SipTestCase):
     async def test_a_release_by_the_desk_reaches_the_caller_after_its_ack(self) -> None:
         daemon = await self.start_sip()
         for transport in ("udp", "tcp"):
@@ -168,7 +168,7 @@
         self.assertEqual((await caller.peer.until(481)).status, 481)
 
 
-class BadRequests(SipStory):
+class BadRequests(SipTestCase):
     async def test_each_gets_its_status(self) -> None:
         daemon = await self.start_sip()
         for transport in ("udp", "tcp"):
@@ -206,7 +206,7 @@
     async def test_noise_on_udp_is_dropped_and_logged(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "udp")
-        assert isinstance(caller.peer, Udp)
+        assert isinstance(caller.peer, UdpPeer)
         for noise in (b"\x00\xff" * 50, b"A" * 17000, b"SIP/2.0 99 no\r\n\r\n"):
             caller.peer.send(noise)
         self.assertEqual((await caller.invite("ok")).status, 200)
--- a/tests/test_takeover_signals.py
+++ b/tests/test_takeover_signals.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 from typing import Any
 
-from tests.http_peers import Stand, http, notices
-from tests.loopback import PATIENCE, Peer, ScriptedDesk, invite
+from tests.http_peers import ScriptedHttpServer, http, notices
+from tests.loopback import HANG_TIMEOUT, Peer, ScriptedDesk, invite
 from tests.processes import ProcessStory
 from tests.support import RAW
 
 
-async def silent(stand: Stand, path: str) -> bytes | None:
+async def silent(stand: ScriptedHttpServer, path: str) -> bytes | None:
     """Discovery that takes a poll and never answers it."""
     await asyncio.Event().wait()
     return None
@@ -28,7 +28,7 @@
         self.addCleanup(held.close)
         listen = "{}:{}".format(*held.getsockname())
         self.path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
-        discovery = Stand(silent)
+        discovery = ScriptedHttpServer(silent)
         self.write(listen, await discovery.start())
         self.addCleanup(discovery.server.close)
         fd = os.dup(held.fileno())
@@ -45,7 +45,7 @@
         process.send_signal(signal.SIGTERM)
         await self.line(process, '"draining"')
         await self.line(process, '"ended"')
-        self.assertEqual(await asyncio.wait_for(process.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(process.wait(), HANG_TIMEOUT), 0)
 
     async def test_a_reload_that_moves_discovery_brings_the_list_that_was_waited_for(self) -> None:
         process, listen = await self.waiting()
@@ -53,16 +53,16 @@
         listed: dict[str, Any] = notices(1, ("d", "Ready"), complete=True)
         listed["notices"][0]["pool"]["members"][0] |= {"host_port": await desk.start(), "cell": 0}
 
-        async def handler(stand: Stand, path: str) -> bytes | None:
+        async def handler(stand: ScriptedHttpServer, path: str) -> bytes | None:
             return http(listed) if len(stand.paths) == 1 else await silent(stand, path)
 
-        discovery = Stand(handler)
+        discovery = ScriptedHttpServer(handler)
         self.write(listen, await discovery.start())
         process.send_signal(signal.SIGHUP)
         await self.line(process, '"reloaded"')
         await self.line(process, '"list"')
         await self.line(process, '"serving"')
-        caller = await Peer.dial(listen)
+        caller = await Peer.connect(listen)
         caller.send(invite())
         await caller.until(200)
         caller.close()
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -8,7 +8,7 @@
 from seamlb.emulator import clock as virtual
 from seamlb.routing.agent import Agent
 from seamlb.routing.model import Answer, Attempt, Desk, Heard, Outcome, Request
-from tests.loopback import ScriptedDesk, Story, invite, silent
+from tests.loopback import DaemonTestCase, ScriptedDesk, invite, never_answer
 from tests.support import settings
 
 
@@ -99,10 +99,10 @@
     assert told[0] == "failed" and 2.0 <= told[1] <= 2.02  # AnswerSlack after it
 
 
-class Stalls(Story):
+class Stalls(DaemonTestCase):
     async def test_a_refusal_is_not_turned_into_a_failure_where_this_process_stood_still(self) -> None:
         # Both timers of the call are due in one turn of the loop, and the refusal is behind the second of them.
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
         caller.send(invite(timer=50))
--- a/tests/test_zones_daemon.py
+++ b/tests/test_zones_daemon.py
@@ -12,10 +12,10 @@
 
 from seamlb.cli import main
 from seamlb.protocol.sip import Message
-from tests.callers import Callers
+from tests.callers import OpenLoopCallers
 from tests.fleet import ROOT, check_files, own_host
 from tests.injector import Injector
-from tests.loopback import PATIENCE, Peer, ScriptedDesk, answer
+from tests.loopback import HANG_TIMEOUT, Peer, ScriptedDesk, answer
 from tests.processes import log_events
 from tests.support import RAW
 
@@ -146,7 +146,7 @@
     def lines(self, number: int, event: str) -> list[dict[str, Any]]:
         return log_events(self.folder / f"{number}.log", event)
 
-    async def until(self, true: Any, within: float = 3 * PATIENCE) -> None:
+    async def until(self, true: Any, within: float = 3 * HANG_TIMEOUT) -> None:
         async with asyncio.timeout(within):
             while not true():
                 await asyncio.sleep(0.1)
@@ -155,7 +155,7 @@
         return all(len([one for one in self.lines(n, event) if one["zone"] == "z1"]) >= times for n in range(SIZE))
 
     async def test_a_zone_that_hangs_is_left_by_all_and_one_agents_link_moves_nobody(self) -> None:
-        callers = Callers([f"{one}:5060" for one in self.hosts], RATE, dests=ZONES * DESKS)
+        callers = OpenLoopCallers([f"{one}:5060" for one in self.hosts], RATE, dests=ZONES * DESKS)
         self.addAsyncCleanup(callers.stop)
         await asyncio.sleep(4.0)
         for one in self.injectors:  # a0 alone has no answer from z1
@@ -183,7 +183,7 @@
         await callers.stop()
         self.assertEqual([call for call, count in self.attempts.items() if count > 4], [])  # AttemptsCap
         self.assertEqual(callers.lost, [])
-        self.assertNotIn("doubled", callers.ends)
+        self.assertNotIn("doubled", callers.outcomes)
 
         at = ["--at", f"{self.hosts[2]}:7001"]
         for words, code in ((["nowhere", "out"], 1), (["z2", "out"], 0)):
--- a/tests/udp_peer.py
+++ b/tests/udp_peer.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from seamlb.protocol.sip import Message, parse_datagram
-from tests.loopback import PATIENCE, Peer
+from tests.loopback import HANG_TIMEOUT, Peer
 
 
-class Udp(asyncio.DatagramProtocol):
+class UdpPeer(asyncio.DatagramProtocol):
     """A scripted peer's UDP socket, with the calls of `Peer`."""
 
     def __init__(self) -> None:
@@ -17,7 +17,7 @@
         self.address, self.source = "", ("", 0)
 
     @classmethod
-    async def bind(cls, target: str = "127.0.0.1:9") -> Udp:
+    async def bind(cls, target: str = "127.0.0.1:9") -> UdpPeer:
         loop = asyncio.get_running_loop()
         transport, peer = await loop.create_datagram_endpoint(cls, local_addr=("127.0.0.1", 0))
         peer.transport, peer.address = transport, "{}:{}".format(*transport.get_extra_info("sockname"))
@@ -32,7 +32,7 @@
         self.transport.sendto(message if isinstance(message, bytes) else message.encode(), self.source)
 
     async def next(self) -> Message:
-        message, self.source = await asyncio.wait_for(self.got.get(), PATIENCE)
+        message, self.source = await asyncio.wait_for(self.got.get(), HANG_TIMEOUT)
         return message
 
     until = Peer.until
