--- a/seamlb/admin.py
+++ b/seamlb/admin.py
@@ -20,7 +20,7 @@
 WITHIN = 5.0  # seconds
 
 
-AT = click.option(
+AT_OPTION = click.option(
     "--at",
     envvar="GW_MANAGEMENT",
     required=True,
@@ -29,7 +29,7 @@
 )
 
 
-def ask(at: str, method: str, path: str, body: bytes | None = None) -> tuple[int, Any]:
+def request(at: str, method: str, path: str, body: bytes | None = None) -> tuple[int, Any]:
     """A call's status and its answer's object; ends the program with 1 if nobody answers, 2 if `at` is no address."""
     try:
         host, port = split_address(at)
@@ -58,9 +58,9 @@
 
 def _command(name: str, method: str, text: str) -> None:
     @admin.command(name, help=text)
-    @AT
+    @AT_OPTION
     def call(at: str) -> None:
-        status, told = ask(at, method, f"/admin/{name}")
+        status, told = request(at, method, f"/admin/{name}")
         click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
         sys.exit(0 if 200 <= status < 300 else 1)
 
@@ -75,10 +75,10 @@
 
 
 @zones.command("list")
-@AT
+@AT_OPTION
 def show(at: str) -> None:
     """What it does about each zone, and what the others say."""
-    told = ask(at, "GET", "/admin/zones")[1]
+    told = request(at, "GET", "/admin/zones")[1]
     for one in told["zones"]:
         facts = [one["state"] + (f" (forced {one['forced']})" if one["forced"] else "")]
         facts += [f"at {100 * one['part']:.0f} % of what its desks bear"] if one["part"] is not None else []
@@ -89,11 +89,11 @@
 
 
 @zones.command()
-@AT
+@AT_OPTION
 @click.argument("zone")
 @click.argument("state", type=click.Choice(["out", "in", "auto"]))
 def force(at: str, zone: str, state: str) -> None:
     """Have this one agent leave ZONE or stay in it, whatever the fleet sees; `auto` ends that."""
-    status, _ = ask(at, "POST", "/admin/zones/force", f"{zone} {state}".encode())
+    status, _ = request(at, "POST", "/admin/zones/force", f"{zone} {state}".encode())
     click.echo("done" if status == 200 else f"no zone {zone}")
     sys.exit(0 if status == 200 else 1)
--- a/seamlb/agree/acting.py
+++ b/seamlb/agree/acting.py
@@ -21,7 +21,7 @@
 from seamlb.agree.relations import Value
 from seamlb.api import Availability, Settings
 from seamlb.routing.model import Desk
-from seamlb.routing.seam import Part
+from seamlb.routing.seam import InputFilter
 
 TENANT = "tenant."
 MEANT = {"open": "limit", "desks": "held", "zones": "left"}
@@ -36,7 +36,7 @@
     return ""
 
 
-class Acting(Part):
+class Acting(InputFilter):
     """One agent's rules as its holder has them; `clock` gives seconds that also count while the machine sleeps."""
 
     def __init__(self, holder: Holder, zones: Sequence[str], clock: Callable[[], float]) -> None:
@@ -48,7 +48,7 @@
         self.values: Mapping[str, Value] = {}
         self.news: list[tuple[Stance, Charter, float]] = []  # stances taken: since when
 
-    def look(self) -> bool:
+    def refresh(self) -> bool:
         """Whoever is about to act asks; has what it may act on changed since the last time?"""
         now = self.clock()
         stance = self.holder.stance(now)
@@ -62,11 +62,11 @@
         return True
 
     @property
-    def open(self) -> float:
+    def max_open(self) -> float:
         """Calls that may be open."""
         return float(self.values.get("open", math.inf))
 
-    def settings(self, settings: Settings) -> Settings:
+    def filter_settings(self, settings: Settings) -> Settings:
         """The settings with this agent's parts of allowances: the module divides them by the instances."""
         allowances = list(settings.allowances)
         for name, value in self.values.items():
@@ -74,7 +74,7 @@
                 allowances[number] = value["parts"].get(self.holder.name, 0.0) * settings.instances
         return replace(settings, allowances=tuple(allowances))
 
-    def listed(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
+    def filter_desks(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
         """News of the list, as the module is to have them."""
         if whole:
             self.told, self.shown = {}, {}
@@ -89,7 +89,7 @@
                 found.append(self._seen(desk))
         return found
 
-    def changed(self, now: float, unix_ms: float) -> list[Desk]:
+    def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
         """Desks of which the module has to be told something else now."""
         moved, self.moved = self.moved, False
         if not moved:
--- a/seamlb/agree/merged.py
+++ b/seamlb/agree/merged.py
@@ -10,7 +10,7 @@
 
 from seamlb.agree.lists import Listed, Lists
 from seamlb.api import Availability, Scope
-from seamlb.routing.model import Changed, Desk
+from seamlb.routing.model import Desk, DeskListCallback
 
 LISTED = {Availability.READY: Listed.READY, Availability.DRAINING: Listed.DRAINING, Availability.GONE: Listed.GONE}
 AVAILABLE = {listed: availability for availability, listed in LISTED.items()}
@@ -19,7 +19,7 @@
 class Merged:
     """Gives `changed` one list; nothing until all that are `awaited` have told theirs, or `begin` is called."""
 
-    def __init__(self, names: tuple[str, ...], awaited: tuple[str, ...], changed: Changed) -> None:
+    def __init__(self, names: tuple[str, ...], awaited: tuple[str, ...], changed: DeskListCallback) -> None:
         self.awaited = awaited
         self.lists, self.changed = Lists(names), changed
         self.desks: dict[str, dict[str, Desk]] = {name: {} for name in names}  # as each source has them
@@ -27,7 +27,7 @@
         self.told: dict[str, Desk] = {}
         self.begun = False
 
-    def source(self, name: str) -> Changed:
+    def source(self, name: str) -> DeskListCallback:
         """What a source tells."""
         return lambda scope, desks: self.heard(name, scope, desks)
 
--- a/seamlb/cli.py
+++ b/seamlb/cli.py
@@ -23,7 +23,7 @@
     help="The JSON configuration (environment: GW_CONFIG).",
 )
 
-AS_IN_FILE = config.Told()
+AS_IN_FILE = config.Overrides()
 LAZY = {  # module, name, extra
     "rollout": ("seamlb.rollout.command", "rollout", "rollout"),
     "zones": ("seamlb.admin", "zones", ""),
@@ -43,7 +43,7 @@
 )
 
 
-def _read(path: str, plugins: str, told: config.Told) -> tuple[config.Config, extras.Plugins]:
+def _read(path: str, plugins: str, told: config.Overrides) -> tuple[config.Config, extras.Plugins]:
     """Both files, checked whole; ConfigError if they can't be used."""
     loaded = config.load(path, told)
     found = extras.load_plugins(plugins, loaded) if plugins else extras.Plugins()
@@ -59,7 +59,7 @@
     return loaded, found
 
 
-def _daemon(path: str, plugins: str, told: config.Told = AS_IN_FILE) -> Callable[[], Daemon]:
+def _daemon(path: str, plugins: str, told: config.Overrides = AS_IN_FILE) -> Callable[[], Daemon]:
     """A daemon from checked files, which it reads anew on SIGHUP; one line and exit code 2 if they can't be used."""
     try:
         loaded, found = _read(path, plugins, told)
@@ -126,7 +126,7 @@
     if inherited is not None and (wrong := listen_socket_error(inherited)):
         log.event("not_inherited", descriptor=inherited, error=wrong)  # the address is bound instead
         inherited = None
-    build = _daemon(path, plugins, config.Told(listen, name, management, inherited, measures))
+    build = _daemon(path, plugins, config.Overrides(listen, name, management, inherited, measures))
 
     logging.basicConfig(handlers=[log.Handler()], level=logging.WARNING)
 
--- a/seamlb/config.py
+++ b/seamlb/config.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class Overrides:
     """What the start says; it comes before what the file says."""
 
     listen: str = ""
@@ -86,7 +86,7 @@
     measures: bool = False
 
 
-def load(path: str, told: Told = Told()) -> Config:
+def load(path: str, told: Overrides = Overrides()) -> Config:
     """Read and check a file."""
     try:
         raw = orjson.loads(Path(path).read_bytes())
@@ -103,7 +103,7 @@
         raise ConfigError(f"{path}: {text}".replace("\n", " ")) from None
 
 
-def read(raw: Mapping[str, Any], told: Told = Told()) -> Config:
+def read(raw: Mapping[str, Any], told: Overrides = Overrides()) -> Config:
     """Check a decoded configuration; what is wrong raises ValueError, TypeError or KeyError."""
     settings = raw["settings"]
     if not isinstance(settings, dict):
--- a/seamlb/daemon.py
+++ b/seamlb/daemon.py
@@ -12,7 +12,7 @@
 from seamlb import __version__, log
 from seamlb.config import Config, ConfigError
 from seamlb.desks.platform import PlatformDesks
-from seamlb.drain import TEND_EVERY, Drain
+from seamlb.drain import UPDATE_INTERVAL_S, Drain
 from seamlb.extras import Plugins
 from seamlb.fronts import management
 from seamlb.fronts.platform import PlatformFront
@@ -57,23 +57,23 @@
             observe=self._observe if self.hook else None,
             advisor=rules.service.advisor if rules else None,
         )
-        self.agent.leaving = lambda: not self.lifecycle.takes(asyncio.get_running_loop().time())
+        self.agent.leaving = lambda: not self.lifecycle.accepts_requests(asyncio.get_running_loop().time())
         self.sockets = descriptors.descriptor_limit(config.sockets)
         self.operators = descriptors.max_management_connections(self.sockets, management.MAX_CONNECTIONS)
         self.front = PlatformFront(self.agent, self.lifecycle, config.listen, self._client_limit())
         self.peers = PeerLink(config, self.agent) if config.peer_listen and settings.limits.peers else None
-        self.parts: list[Subsystem] = [self.peers] if self.peers else []
-        self.parts += build(config, plugins, self.agent)
-        self.parts.append(lists := ListsPart(config, plugins, self.agent))
+        self.subsystems: list[Subsystem] = [self.peers] if self.peers else []
+        self.subsystems += build(config, plugins, self.agent)
+        self.subsystems.append(lists := ListsPart(config, plugins, self.agent))
         self.plan = PlanPart(config, plugins.plan, self.agent, self._every)
-        self.parts.append(self.plan)
+        self.subsystems.append(self.plan)
         if rules:
             rules.agent = self.agent
-            self.parts.append(rules)
-        more = {path: table for part in self.parts for path, table in part.tables().items()}
-        orders = {path: order for part in self.parts for path, order in part.orders().items()}
+            self.subsystems.append(rules)
+        more = {path: table for part in self.subsystems for path, table in part.tables().items()}
+        orders = {path: order for part in self.subsystems for path, order in part.orders().items()}
         self.management = management.ManagementFront(
-            config.management, self.lifecycle, self.figures, more, orders, self.operators
+            config.management, self.lifecycle, self.stats, more, orders, self.operators
         )
         classify = self.hook.classify if self.hook else None
         self.sip = sip_front(plugins, self.agent, self.lifecycle, classify)
@@ -84,7 +84,7 @@
             else PlatformDesks(
                 settings.fields,
                 config.connect_timeout,
-                self.agent.sampled,
+                self.agent.report_received,
                 self.front.release_unknown_call,
                 self.agent.counters.relay,
             )
@@ -128,7 +128,7 @@
     async def start(self) -> None:
         """Bind all addresses and follow the list of desks."""
         config = self.config
-        for part in self.parts:
+        for part in self.subsystems:
             await part.bind()
         if self.sip_desks and self.plugins.desks:
             await self.sip_desks.endpoint.listen(self.plugins.desks.udp, self.plugins.desks.tcp)
@@ -137,12 +137,12 @@
         loop = asyncio.get_running_loop()
         if config.management:
             self.management.start()
-        if config.listen and self.lifecycle.listens(loop.time()):
+        if config.listen and self.lifecycle.accepts_connections(loop.time()):
             self.front.start()
         if self.sip:
             await self.sip.start()
         waiting = [self._follow(member) for member in self.lists.members]
-        waiting += [one for part in self.parts for one in part.runs()]
+        waiting += [one for part in self.subsystems for one in part.runs()]
         self.following = [loop.create_task(one) for one in waiting]
         if config.inherited is not None:
             # The process before this one still takes calls: this one begins when it knows the desks.
@@ -157,22 +157,22 @@
             bound["platform"] = f"{split_address(config.listen)[0]}:{self.front.listener.port}"
         for name, address in bound.items():
             log.event("listening", front=name, address=address)
-        for part in self.parts:
+        for part in self.subsystems:
             await part.begin()
             for seconds, where, step in part.steps():
                 self._every(seconds, where, step)
         self.lifecycle.started(loop.time())
-        self._every(TEND_EVERY, "lifecycle", self.tend)
+        self._every(UPDATE_INTERVAL_S, "lifecycle", self.update_connections)
         log.event("serving", name=config.name, listen=config.listen, version=__version__)
 
-    def tend(self) -> None:
+    def update_connections(self) -> None:
         """Have the fronts do what the lifecycle and the list of servers say now."""
         self.front.listener.set_limit(self._client_limit())
-        self.drain.tend()
+        self.drain.update()
 
-    def figures(self) -> dict[str, Any]:
+    def stats(self) -> dict[str, Any]:
         """What `/admin/stats` shows."""
-        return self.agent.figures() | {"cfg_accepted": self.cfg_accepted, "cfg_invalid": self.cfg_invalid}
+        return self.agent.stats() | {"cfg_accepted": self.cfg_accepted, "cfg_invalid": self.cfg_invalid}
 
     async def _follow(self, member: Discovery) -> None:
         """Follow a list; a fault is logged and it is followed anew, as a drain must not go unheard."""
@@ -195,13 +195,13 @@
             config, plugins = self.reread()
             if lost := self.config.lacks(config):
                 raise ConfigError(f"{config.source}: {lost}: missing, and the configuration in force has it")
-            waits = [one for part in self.parts for one in part.check(plugins)]
+            waits = [one for part in self.subsystems for one in part.check(plugins)]
         except ConfigError as error:
             self.cfg_invalid += 1
             log.event("reload_failed", error=str(error))
             return
         self.cfg_accepted += 1
-        taken = {*TAKEN_OVER, *(name for part in self.parts for name in part.TAKES)}
+        taken = {*TAKEN_OVER, *(name for part in self.subsystems for name in part.TAKES)}
         waits += [
             one.name
             for new, old in ((config, self.config), (plugins, self.plugins))
@@ -210,7 +210,7 @@
         ]
         self.board.set_address(config.board)
         waits += self._retune(config)
-        for part in self.parts:
+        for part in self.subsystems:
             part.reload(config, plugins)
         self.plugins = plugins if waits == [] else replace(self.plugins, plan=plugins.plan)
         log.event("reloaded", board=config.board, waits_for_restart=waits)
@@ -220,9 +220,9 @@
         old, self.config = self.config, replace(self.config, raw=config.raw)
         if all(getattr(config, name) == getattr(old, name) for name in SETTINGS):
             return []
-        if any(part.steady for part in self.parts):
+        if any(part.steady for part in self.subsystems):
             return ["settings"]
-        self.agent.retune(config.settings.following(self.agent.settings, *self.agent.numbers_in_use()))
+        self.agent.apply_settings(config.settings.following(self.agent.settings, *self.agent.numbers_in_use()))
         self.agent.max_open = config.max_open
         if self.platform_desks:
             self.platform_desks.context.connect_timeout = config.connect_timeout
@@ -240,13 +240,13 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came during the start is heard now
         await self.start()
         await self.term.wait()
-        for part in self.parts:
+        for part in self.subsystems:
             part.leave()
         await self.drain.run()
         await self.close()
         # The loop puts the defaults back when it closes: a signal until the exit must not end the drain as a crash.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
-        log.event("ended", taken=self.agent.taken)
+        log.event("ended", taken=self.agent.accepted)
 
     async def close(self) -> None:
         """Let queued bytes out and close everything."""
@@ -255,7 +255,7 @@
         await asyncio.gather(*self.following, return_exceptions=True)
         self.front.close()
         self.management.close()
-        for part in self.parts:
+        for part in self.subsystems:
             await part.close()
         if self.sip:
             self.sip.close()
--- a/seamlb/desks/legs.py
+++ b/seamlb/desks/legs.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from seamlb.net.connection import Connection
-from seamlb.routing.model import Attempt, Heard, Outcome
+from seamlb.routing.model import Attempt, AttemptCallback, Outcome
 
 REMEMBER = 30.0  # seconds for which a leg that is over is known
 
@@ -18,7 +18,7 @@
     """An attempt on the wire, then the call that stands by it."""
 
     attempt: Attempt
-    heard: Heard
+    heard: AttemptCallback
     connection: Connection | None = None  # None: waits for one
     stands: bool = False
     sent: float = 0.0
--- a/seamlb/desks/platform.py
+++ b/seamlb/desks/platform.py
@@ -12,7 +12,7 @@
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.report import NOTES, parse_report
 from seamlb.protocol.sip import Message, parameter, response
-from seamlb.routing.model import Answer, Attempt, Availability, Desk, Heard, Outcome, Status
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Availability, Desk, Outcome, Status
 
 STATUSES = {503: Status.FULL, 486: Status.ERROR, 500: Status.ERROR, 480: Status.NOT_RUN, 504: Status.RESET}
 NORMAL = 16  # Q.850 cause of a call that was released
@@ -38,7 +38,7 @@
 
     # -- asked by the core --------------------------------------------------------------------
 
-    def listed(self, desk: Desk) -> None:
+    def desk_changed(self, desk: Desk) -> None:
         """Keep a connection to each listed server: the state of its group comes on it."""
         link = self.links.get(desk.ident)
         if link is not None and (link.desk.address != desk.address or desk.availability == Availability.GONE):
@@ -55,14 +55,14 @@
         if desk.availability != Availability.READY:
             link.fail_waiting()  # a connection that comes up late must not carry them to a server that drains
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
+    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
         """Start an attempt; `heard` is told at most an Answer and then exactly one Outcome."""
         if link := self.links.get(attempt.desk):
             link.set_up(Leg(attempt, heard, sent=asyncio.get_running_loop().time()))
         else:
             heard(attempt.leg, Outcome(Status.CONNECT_FAILED))
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Call an attempt off; nothing more is told of it."""
         leg = self.legs.take_off(_key(attempt))
         link = self.links.get(attempt.desk)
@@ -80,7 +80,7 @@
         if link := self.links.get(attempt.desk):
             link.release(attempt, cause)
 
-    def free(self, desk: str) -> None:
+    def close_idle(self, desk: str) -> None:
         """Close idle connections."""
         if link := self.links.get(desk):
             link.free_idle(CloseReason.IDLE)
--- a/seamlb/desks/requests.py
+++ b/seamlb/desks/requests.py
@@ -25,7 +25,7 @@
 
 def invite(attempt: Attempt) -> Message:
     """The set-up of an attempt."""
-    waited = max(1, int(attempt.within_ms))
+    waited = max(1, int(attempt.timeout_ms))
     headers = ("X-Cos", attempt.request.class_name), ("X-Timer-Ms", str(waited))
     return request("INVITE", attempt, *headers, body=attempt.request.description)
 
--- a/seamlb/desks/sip.py
+++ b/seamlb/desks/sip.py
@@ -11,7 +11,7 @@
 from seamlb.protocol.dialog import Dialog
 from seamlb.protocol.report import NOTES, parse_report
 from seamlb.protocol.sip import Message, digits, parameter, response
-from seamlb.routing.model import Answer, Attempt, Availability, Desk, Heard, Outcome, Status
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Availability, Desk, Outcome, Status
 from seamlb.sip.endpoint import Entry, Flow, SipEndpoint, Target, uri_target
 
 STATUSES = {
@@ -33,7 +33,7 @@
     """An INVITE of ours, then its dialog."""
 
     attempt: Attempt
-    heard: Heard
+    heard: AttemptCallback
     invite: Message
     target: Target
     entry: Entry | None = None
@@ -63,7 +63,7 @@
 
     # -- asked by the core --------------------------------------------------------------------
 
-    def listed(self, desk: Desk) -> None:
+    def desk_changed(self, desk: Desk) -> None:
         """A server is new, has changed or is gone."""
         old = self.desks.pop(desk.ident, None)
         if desk.availability != Availability.GONE:
@@ -75,7 +75,7 @@
                     self._drop(leg)
                     leg.heard(leg.attempt.leg, Outcome(Status.RESET, cause=CUT))
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
+    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
         """Start an attempt; `heard` is told at most an Answer and then exactly one Outcome."""
         desk = self.desks.get(attempt.desk)
         if desk is None:
@@ -96,7 +96,7 @@
             self.relayed,
         )
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Call an attempt off; nothing more is told of it."""
         leg = self.legs.pop((attempt.desk, attempt.request.ident), None)
         if leg:
@@ -112,7 +112,7 @@
             if leg.dialog:
                 self._bye(leg, leg.dialog, cause)
 
-    def free(self, desk: str) -> None:
+    def close_idle(self, desk: str) -> None:
         """Idle connections close by themselves here."""
 
     def close(self) -> None:
@@ -132,7 +132,7 @@
             ("CSeq", "1 INVITE"),
             ("Contact", self.endpoint.contact(target.transport)),
             ("X-Cos", request.class_name),
-            ("X-Timer-Ms", str(max(1, int(attempt.within_ms)))),
+            ("X-Timer-Ms", str(max(1, int(attempt.timeout_ms)))),
         ]
         if request.description:
             headers.append(("Content-Type", request.description_type))
--- a/seamlb/discovery/board.py
+++ b/seamlb/discovery/board.py
@@ -13,7 +13,7 @@
 from seamlb.discovery.poller import Poller, PollError
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.notices import Notice, NoticeError, parse_notices
-from seamlb.routing.model import Availability, Changed, Desk, Scope
+from seamlb.routing.model import Availability, Desk, DeskListCallback, Scope
 
 LINGER = 2.0  # seconds that the board may wait for news
 SILENCE = 1.5  # seconds beyond that before a poll counts as silent; a drain must be known within 7 s
@@ -25,7 +25,9 @@
 class Board:
     """Follows the list of desks by long polls on one connection."""
 
-    def __init__(self, address: str, zones: Sequence[str], changed: Changed, skip_first_wait: bool = False) -> None:
+    def __init__(
+        self, address: str, zones: Sequence[str], changed: DeskListCallback, skip_first_wait: bool = False
+    ) -> None:
         self.address = address
         self.caught_up = asyncio.Event()  # the board has answered once: nothing older is unknown
         self.skip_first_wait = skip_first_wait  # have the first answer without a wait
--- a/seamlb/discovery/consul.py
+++ b/seamlb/discovery/consul.py
@@ -14,7 +14,7 @@
 from seamlb import log
 from seamlb.discovery.poller import Poller, PollError
 from seamlb.net.reason import CloseReason
-from seamlb.routing.model import Availability, Changed, Desk, Scope
+from seamlb.routing.model import Availability, Desk, DeskListCallback, Scope
 
 BACK_OFF_FIRST, BACK_OFF_MOST = 0.5, 30.0
 
@@ -42,7 +42,7 @@
         self,
         config: ConsulConfig,
         zones: Sequence[str],
-        changed: Changed,
+        changed: DeskListCallback,
         seed: int,
         sleep: Callable[[float], Any] = asyncio.sleep,
     ) -> None:
--- a/seamlb/drain.py
+++ b/seamlb/drain.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from seamlb.fronts.sip import SipFront  # loaded only where it is on
 
-TEND_EVERY = 0.05  # seconds between two looks at what the lifecycle wants of listeners and connections
+UPDATE_INTERVAL_S = 0.05  # seconds between two looks at what the lifecycle wants of listeners and connections
 
 
 class Drain:
@@ -31,7 +31,7 @@
         self.lifecycle, self.agent, self.front, self.sip, self.servers = lifecycle, agent, front, sip, servers
         front.on_disconnect = self._leave_servers
 
-    def tend(self) -> None:
+    def update(self) -> None:
         """Have the fronts do what the lifecycle says now."""
         now = asyncio.get_running_loop().time()
         if self.sip:
@@ -42,7 +42,7 @@
 
     def _callers_are_owed(self) -> bool:
         """Has a server sent or said something that callers have to be told before their connections go?"""
-        return self.agent.has_untold() or (self.servers is not None and self.servers.has_unread_data())
+        return self.agent.has_unprocessed_updates() or (self.servers is not None and self.servers.has_unread_data())
 
     def _leave_servers(self) -> None:
         """In a drain, end the connections to servers in one step with the last caller's that reads.
@@ -52,20 +52,20 @@
         """
         draining = self.lifecycle.phase is Phase.DRAINING and not self.agent.unanswered
         now = asyncio.get_running_loop().time()
-        if self.servers and draining and self.lifecycle.over(now, 0, self.front.reachable_connections()):
+        if self.servers and draining and self.lifecycle.may_exit(now, 0, self.front.reachable_connections()):
             self.servers.close()
 
     async def run(self) -> None:
         """Drain: keep taking, answer all that was taken, until nothing is left or the time is over."""
         loop = asyncio.get_running_loop()
         self.lifecycle.terminate(loop.time())
-        self.tend()  # from now on a shared socket is the other process's alone
+        self.update()  # from now on a shared socket is the other process's alone
         log.event("draining", open=self.agent.unanswered)
-        while not self.lifecycle.over(loop.time(), self.agent.unanswered, len(self.front.clients)):
-            await asyncio.sleep(TEND_EVERY)
+        while not self.lifecycle.may_exit(loop.time(), self.agent.unanswered, len(self.front.clients)):
+            await asyncio.sleep(UPDATE_INTERVAL_S)
         if self.agent.unanswered:
             log.event("drain_late", open=self.agent.unanswered)
-            self.agent.give_up()
+            self.agent.fail_unanswered()
             await self.agent.idle.wait()
         self._leave_servers()
         self.lifecycle.ended(loop.time())
--- a/seamlb/emulator/run.py
+++ b/seamlb/emulator/run.py
@@ -89,7 +89,7 @@
             guide = Guide(told, tuple(o.name for o in offices(problem)))
             guide.adopt(0.0, Followed(problem, policy.plan, district))
         advisor = self._advisor(told) if policy.rules else None
-        agent = Agent(told, self.seed * 1000 + place, clock=self.now, guide=guide, advisor=advisor)
+        agent = Agent(told, self.seed * 1000 + place, clock=self.now, steering=guide, advisor=advisor)
         client = EmulatedDesks(lambda desk: self.far(district, desk), self.holding)
         client.desks = self.desks
         agent.desks = client
@@ -165,12 +165,12 @@
         while True:
             await asyncio.sleep(float(rng.uniform(*REPORT_EVERY)))
             if desk.up and not desk.hung:
-                self.loop.call_later(far, self.agents[district].sampled, desk.name, desk.report())
+                self.loop.call_later(far, self.agents[district].report_received, desk.name, desk.report())
 
     async def _steer(self, agent: Agent) -> None:
         while True:
             await asyncio.sleep(0.25)
-            agent.steer()
+            agent.apply_steering()
 
     async def _callers(self, cell: tuple[str, str, str], number: int) -> None:
         """Poisson arrivals of one class, district and office."""
@@ -265,5 +265,5 @@
     async def main() -> Result:
         return await World(problem, policy, scenario, seed, seconds).play()
 
-    with log.silent():
+    with log.muted():
         return clock.run(main())
--- a/seamlb/emulator/standin.py
+++ b/seamlb/emulator/standin.py
@@ -11,7 +11,7 @@
 import numpy
 
 from seamlb import api
-from seamlb.routing.model import Answer, Attempt, Heard, Outcome
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Outcome
 
 SETUP, ANSWER, RELEASE, TURN = 0.7, 0.15, 0.15, 0.3  # parts of a set-up's whole work; turning one away costs TURN
 TURN_WAIT = 2.5  # seconds of work ahead at which set-ups are turned away
@@ -29,7 +29,7 @@
     """A set-up at a desk."""
 
     attempt: Attempt
-    heard: Heard
+    heard: AttemptCallback
     far: float  # seconds one way
     left: bool = False  # given up, or released by the caller
     standing: bool = False
--- a/seamlb/emulator/world.py
+++ b/seamlb/emulator/world.py
@@ -16,8 +16,8 @@
 import numpy
 
 from seamlb.emulator.standin import Job, StandinDesk
-from seamlb.routing.agent import Agent, Life
-from seamlb.routing.model import Answer, Attempt, Desk, Heard, Outcome, Request
+from seamlb.routing.agent import Agent, CallSession
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Desk, Outcome, Request
 
 REPORT_EVERY = (0.11, 0.59)  # seconds between a desk's unasked reports
 
@@ -33,10 +33,10 @@
         self.out: set[str] = set()  # requests with an attempt out
         self.broken: list[str] = []
 
-    def listed(self, desk: Desk) -> None:
+    def desk_changed(self, desk: Desk) -> None:
         """Nothing is kept of the list: an attempt names its desk."""
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
+    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
         """Start an attempt; it arrives after the way to its server."""
         desk, far = self.desks[attempt.desk], self.far(attempt.desk)
         key = attempt.request.ident, attempt.leg
@@ -57,7 +57,7 @@
         holding = self.holding(attempt.request, attempt.desk)
         asyncio.get_running_loop().call_later(far, desk.arrive, job, holding)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Call an attempt off."""
         if found := self.jobs.pop((attempt.request.ident, attempt.leg), None):
             job, desk = found
@@ -66,9 +66,9 @@
 
     def release(self, attempt: Attempt, cause: int) -> None:
         """End a call that stands."""
-        self.give_up(attempt)
+        self.cancel(attempt)
 
-    def free(self, desk: str) -> None:
+    def close_idle(self, desk: str) -> None:
         """There are no connections."""
 
 
@@ -82,7 +82,7 @@
     first: float  # when it first tried
     rng: numpy.random.Generator
     tries: int = 1
-    life: Life | None = None
+    life: CallSession | None = None
     timer: asyncio.TimerHandle | None = None
     stood: float | None = None  # seconds from the first try
     cut: bool = False
@@ -91,7 +91,7 @@
     def call(self) -> None:
         """Ask the agent for the call."""
         self.answers.clear()
-        self.life = self.agent.take(self.request, self)
+        self.life = self.agent.accept(self.request, self)
         if self.life is not None:
             loop = asyncio.get_running_loop()
             self.timer = loop.call_later(self.request.patience_ms / 1000.0, self._left)
@@ -100,7 +100,7 @@
         self.timer = None
         if self.life and not self.life.answered:
             self.world.late += 1
-            self.agent.caller_left(self.life)
+            self.agent.caller_hung_up(self.life)
             self._again(0.0)
 
     def _over(self, answer: str) -> None:
@@ -111,7 +111,7 @@
             self.timer.cancel()
             self.timer = None
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         """The call stands."""
         self._over("stands")
         self.stood = asyncio.get_running_loop().time() - self.first
--- a/seamlb/fronts/calls.py
+++ b/seamlb/fronts/calls.py
@@ -9,7 +9,7 @@
 from seamlb.fronts.releases import Receiver
 from seamlb.net.connection import Connection
 from seamlb.protocol.sip import Framer, Message, response
-from seamlb.routing.agent import Life
+from seamlb.routing.agent import CallSession
 
 if TYPE_CHECKING:
     from seamlb.fronts.platform import PlatformFront
@@ -33,13 +33,13 @@
     client: Client
     invite: Message
     ident: str
-    life: Life | None = None
+    life: CallSession | None = None
 
     def _final(self, message: Message) -> bool:
         self.client.open.pop(self.ident, None)
         return self.client.connection.send(message.encode())
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         """Pass the answer on; False if the caller can no longer be told."""
         told = self._final(response(self.invite, 200, body=description))
         if told:
--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -54,13 +54,13 @@
 
     def apply_lifecycle(self, now: float) -> None:
         """Do what the lifecycle says of the listener and of connections without an open set-up."""
-        if not self.lifecycle.listens(now):
+        if not self.lifecycle.accepts_connections(now):
             self.listener.stop()
-        least = self.lifecycle.spares(now)
+        least = self.lifecycle.quiet_limit(now)
         if least == math.inf:
             return
         self.flush()
-        standing = {call.client for call in self.calls.values()} if self.lifecycle.keeps_standing else set()
+        standing = {call.client for call in self.calls.values()} if self.lifecycle.keeps_established_calls else set()
         for client in self.clients - standing:
             # Half a message has its own time to become whole: its caller is not cut off in the middle.
             if not client.framer.data and client.connection.quiet(least):
@@ -175,7 +175,7 @@
 
     def _left(self, call: Call, cause: int) -> None:
         if call.life:
-            self.agent.caller_left(call.life, cause)
+            self.agent.caller_hung_up(call.life, cause)
 
     def _invite(self, client: Client, message: Message, ident: str, known: Call | None) -> None:
         if known is not None or ident in self.spoilt:  # the same id again: never a second attempt
@@ -192,10 +192,10 @@
             client.connection.send(response(message, 400, ("Warning", f'399 seamlb "{bad}"')).encode())
             return
         client.open[ident] = call
-        call.life = self.agent.take(request, call)
+        call.life = self.agent.accept(request, call)
         if call.life:
             self.calls[ident] = call
-            call.life.closed = lambda: self.calls.pop(ident, None)
+            call.life.on_closed = lambda: self.calls.pop(ident, None)
 
     def _spoil(self, ident: str) -> None:
         """An id that was used twice is never taken again: rule 5 would bar it, and no answer could be told."""
--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -16,7 +16,7 @@
 from seamlb.net.lag import Lag
 from seamlb.protocol.dialog import Dialog, Resender
 from seamlb.protocol.sip import Message, digits, parameter, response
-from seamlb.routing.agent import Agent, Life
+from seamlb.routing.agent import Agent, CallSession
 from seamlb.routing.model import Request
 from seamlb.sip.endpoint import Entry, Flow, SipEndpoint, Target, uri_target
 from seamlb.sip.settings import SipFrontConfig
@@ -39,7 +39,7 @@
     entry: Entry
     flow: Flow
     tag: str
-    life: Life | None = None
+    life: CallSession | None = None
     dialog: Dialog | None = None
     resender: Resender | None = None
     timer: asyncio.TimerHandle | None = None
@@ -54,7 +54,7 @@
         answer = response(self.invite, status, *extra, body=body, tag=self.tag if status > 100 else "")
         self.front.endpoint.respond(self.entry, answer)
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         """200 with the desk's description, byte for byte; resent until the ACK."""
         if self.answered:
             return False
@@ -164,7 +164,7 @@
 
     def apply_lifecycle(self, now: float) -> None:
         """Do what the lifecycle says of the listener; its callers' connections end with the process."""
-        if not self.lifecycle.listens(now):
+        if not self.lifecycle.accepts_connections(now):
             self.endpoint.stop_listening()
 
     def close(self) -> None:
@@ -251,7 +251,7 @@
     def left(self, call: Call, cause: int) -> None:
         """The caller has gone, or its call can't go on."""
         if call.life:
-            self.agent.caller_left(call.life, cause)
+            self.agent.caller_hung_up(call.life, cause)
 
     # -- a new call ---------------------------------------------------------------------------
 
@@ -269,7 +269,7 @@
         except ManagementCallError as bad:
             return call.respond(400, ("Warning", f'399 seamlb "{bad}"'))
         self.pending[entry.key] = call
-        call.life = self.agent.take(request, call)
+        call.life = self.agent.accept(request, call)
 
     def _read(self, message: Message, ident: str, transport: str) -> Request:
         config, settings = self.config, self.agent.settings
--- a/seamlb/lifecycle.py
+++ b/seamlb/lifecycle.py
@@ -75,7 +75,7 @@
         """What tests and operators are told."""
         return self.phase is Phase.READY
 
-    def listens(self, now: float) -> bool:
+    def accepts_connections(self, now: float) -> bool:
         """Are new connections accepted? On a shared socket the process that doesn't leaves them to the other one."""
         match self.phase:
             case Phase.STARTING:
@@ -87,7 +87,7 @@
             case _:
                 return False
 
-    def spares(self, now: float) -> float:
+    def quiet_limit(self, now: float) -> float:
         """How long a connection without an open set-up may have been quiet and stay; infinite: all of them stay.
 
         Guards set-ups that cross the close: the front stops sending new connections first, and a connection in
@@ -101,14 +101,14 @@
         return 0.0 if self.phase is Phase.DRAINING and now >= self.since + KEEP_TAKING else math.inf
 
     @property
-    def keeps_standing(self) -> bool:
+    def keeps_established_calls(self) -> bool:
         """Does a connection stay on which a call was set up that still stands? It is the way of its release.
 
         When another process takes over, callers must come to that one: it is the one that is told of releases then.
         """
         return self.phase is Phase.QUIESCING
 
-    def takes(self, now: float) -> bool:
+    def accepts_requests(self, now: float) -> bool:
         """Are set-ups taken that come on connections which should be gone by now?"""
         return self.phase is not Phase.QUIESCING or now < self.since + REFUSE
 
@@ -117,7 +117,7 @@
         most = UPGRADE_MOST if self.shared else DRAIN_MOST
         return self.since + KEEP_TAKING + max(0.0, min(self.longest, most) - DRAIN_MARGIN)
 
-    def over(self, now: float, unanswered: int, connections: int) -> bool:
+    def may_exit(self, now: float, unanswered: int, connections: int) -> bool:
         """May the process end? Only without callers, as nobody else can serve those it has."""
         if self.phase is not Phase.DRAINING:
             return self.phase is Phase.ENDED
--- a/seamlb/log.py
+++ b/seamlb/log.py
@@ -18,7 +18,7 @@
 
 
 @contextlib.contextmanager
-def silent() -> Iterator[None]:
+def muted() -> Iterator[None]:
     """No lines meanwhile: the emulator hosts many agents whose logs nobody reads."""
     global _muted
     _muted += 1
--- a/seamlb/members/command.py
+++ b/seamlb/members/command.py
@@ -8,7 +8,7 @@
 
 import click
 
-from seamlb.admin import AT, ask
+from seamlb.admin import AT_OPTION, request
 from seamlb.members.wire import DatagramError, decode
 
 
@@ -28,20 +28,20 @@
 
 
 @members.command("list")
-@AT
+@AT_OPTION
 def show(at: str) -> None:
     """The members as the agent at this management address sees them."""
-    click.echo("\n".join(_lines(ask(at, "GET", "/admin/members")[1])))
+    click.echo("\n".join(_lines(request(at, "GET", "/admin/members")[1])))
 
 
 @members.command()
-@AT
+@AT_OPTION
 @click.option("--seconds", type=click.FloatRange(1, 86400), default=3600.0, show_default=True)
 def watch(at: str, seconds: float) -> None:
     """The same, again whenever it changes."""
     end, last = time.monotonic() + seconds, list[str]()
     while time.monotonic() < end:
-        lines = _lines(ask(at, "GET", "/admin/members")[1])
+        lines = _lines(request(at, "GET", "/admin/members")[1])
         if lines != last:
             click.echo("\n".join([time.strftime("%H:%M:%S"), *lines]))
             last = lines
--- a/seamlb/planning/follow.py
+++ b/seamlb/planning/follow.py
@@ -106,7 +106,7 @@
         self.desks: dict[str, Seen] = {}
         self.steering: dict[str, Steering] = {}
         self.stepped = -math.inf
-        self.news: list[tuple[str, dict[str, object]]] = []  # log lines: event and facts
+        self.pending_events: list[tuple[str, dict[str, object]]] = []  # log lines: event and facts
         self.told: set[tuple[str, str]] = set()  # what was logged already
         self.others: dict[str, StickyDraw] = {}  # draws for classes that the plan can't place now
 
@@ -136,7 +136,7 @@
     def _tell(self, event: str, about: str, **facts: object) -> None:
         if (event, about) not in self.told:
             self.told.add((event, about))
-            self.news.append((event, facts))
+            self.pending_events.append((event, facts))
 
     def _missing(self) -> None:
         """Tell once of planned desks that the list does not have."""
@@ -148,7 +148,7 @@
 
     # -- what is told ---------------------------------------------------------------------------
 
-    def listed(self, now: float, desks: Iterable[Listed]) -> None:
+    def update_desks(self, now: float, desks: Iterable[Listed]) -> None:
         """The whole list as it is now."""
         present = {one.ident: one for one in desks}
         changed = False
@@ -175,7 +175,7 @@
                 self._step(now, 0)
                 self._missing()
 
-    def reported(self, now: float, desk: str, idle: float) -> None:
+    def report_idle_agents(self, now: float, desk: str, idle: float) -> None:
         """A desk told how many agents are free."""
         if (seen := self.desks.get(desk)) is None:
             return
@@ -260,7 +260,7 @@
             )
         return self.others[kind]
 
-    def inputs(self, now: float) -> api.Settings:
+    def decision_settings(self, now: float) -> api.Settings:
         """The settings with the plan's pools and allowances; the daemon's own where no plan says otherwise.
 
         A class keeps the settings' pools while none of its planned desks is listed: it must stay served.
--- a/seamlb/plugins/advisor.py
+++ b/seamlb/plugins/advisor.py
@@ -32,7 +32,7 @@
         self.offices = {name: place for place, name in enumerate(offices)}
         self.desks = 0
 
-    def extend(self, settings: api.Settings) -> api.Settings:
+    def extend_settings(self, settings: api.Settings) -> api.Settings:
         """Behind the offices: one that is always within its share, one that never is."""
         if not settings.allowances:
             return settings  # without shares a call has no standing that could differ
--- a/seamlb/routing/inbox.py
+++ b/seamlb/routing/inbox.py
@@ -12,7 +12,17 @@
 
 from seamlb import api
 from seamlb.routing.model import Answer, Outcome
-from seamlb.routing.news import AttemptNews, CallerLeft, CallNews, Decision, Heard, News, Overdue, Shutdown, TimedOut
+from seamlb.routing.news import (
+    AttemptNews,
+    AttemptUpdate,
+    CallerLeft,
+    CallNews,
+    Decision,
+    News,
+    Overdue,
+    Shutdown,
+    TimedOut,
+)
 
 
 class Wait(Enum):
@@ -29,7 +39,7 @@
     `leg` numbers the attempt that is out: word of another one never counts.
     """
     match news:
-        case Heard(about, what):
+        case AttemptUpdate(about, what):
             kind: type = type(what)
         case TimedOut(about) | api.Cancel(_, about):
             kind = type(news)
@@ -52,7 +62,7 @@
 
     def word_from_server(self) -> bool:
         """Is something pending that a server has said?"""
-        return any(isinstance(one, Heard) for one in self.pending)
+        return any(isinstance(one, AttemptUpdate) for one in self.pending)
 
     async def decision(self) -> Decision:
         """Wait for a decision, with no attempt out."""
--- a/seamlb/routing/life.py
+++ b/seamlb/routing/life.py
@@ -8,9 +8,9 @@
 
 from seamlb.routing.inbox import Inbox
 from seamlb.routing.model import Attempt, Caller, Request
-from seamlb.routing.news import CallerLeft, Heard, Overdue, Shutdown, TimedOut, Verdict
+from seamlb.routing.news import AttemptUpdate, CallerLeft, Overdue, Shutdown, TimedOut, Verdict
 
-__all__ = ["CallerLeft", "Heard", "Life", "Overdue", "Shutdown", "TimedOut", "Verdict", "key_of"]
+__all__ = ["AttemptUpdate", "CallSession", "CallerLeft", "Overdue", "Shutdown", "TimedOut", "Verdict", "key_of"]
 
 
 def key_of(number: str) -> int:
@@ -19,13 +19,13 @@
 
 
 @dataclass(slots=True)
-class Life:
+class CallSession:
     """One request from its taking to its end; owned by its coroutine, told news by the others."""
 
     number: int  # the module's name for it
     request: Request
     caller: Caller
-    news: Inbox = field(default_factory=Inbox)
+    inbox: Inbox = field(default_factory=Inbox)
     attempt: Attempt | None = None  # the one slot: never two attempts at once (rule 1)
     attempts: int = 0
     server: int = -1  # the module's number for the attempt's desk
@@ -35,4 +35,4 @@
     left: bool = False  # the caller has gone: known at once, while its news may still be pending
     since: float = 0.0  # clock time of its taking; kept only where somebody asks how long answers take
     kind: str = ""  # the class that the caller named; local rules may give the request another one
-    closed: Callable[[], object] = lambda: None  # tells the front that the life is over
+    on_closed: Callable[[], object] = lambda: None  # tells the front that the life is over
--- a/seamlb/routing/model.py
+++ b/seamlb/routing/model.py
@@ -12,19 +12,19 @@
     "Advisor",
     "Answer",
     "Attempt",
+    "AttemptCallback",
     "Availability",
     "Caller",
-    "Changed",
     "Desk",
     "DeskClient",
+    "DeskListCallback",
     "Discovery",
-    "Guide",
-    "Heard",
     "Outcome",
     "Peers",
     "Request",
     "Scope",
     "Status",
+    "Steering",
 ]
 
 
@@ -55,7 +55,7 @@
     request: Request
     leg: int
     desk: str
-    within_ms: float
+    timeout_ms: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -87,13 +87,13 @@
     since_ms: float
 
 
-Heard = Callable[[int, Answer | Outcome], None]  # leg, what became of it
+AttemptCallback = Callable[[int, Answer | Outcome], None]  # leg, what became of it
 
 
 class Caller(Protocol):
     """The side of a request that waits for its final answer."""
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         """Pass the answer on; False if the caller can no longer be told."""
 
     def refused(self, back_off_ms: float) -> None:
@@ -109,23 +109,23 @@
 class DeskClient(Protocol):
     """Carries attempts to desks."""
 
-    def listed(self, desk: Desk) -> None:
+    def desk_changed(self, desk: Desk) -> None:
         """A desk is new, has changed or is gone."""
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
+    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
         """Start an attempt; `heard` is told at most an Answer and then exactly one Outcome."""
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Call an attempt off; nothing more is told of it."""
 
     def release(self, attempt: Attempt, cause: int) -> None:
         """End a call that stands; nothing more is told of it."""
 
-    def free(self, desk: str) -> None:
+    def close_idle(self, desk: str) -> None:
         """Close idle connections."""
 
 
-Changed = Callable[[Scope, Sequence[Desk]], None]  # takes a source's news of the list
+DeskListCallback = Callable[[Scope, Sequence[Desk]], None]  # takes a source's news of the list
 
 
 class Discovery(Protocol):
@@ -135,31 +135,31 @@
         """Follow the list."""
 
 
-class Guide(Protocol):
+class Steering(Protocol):
     """Steers calls before the module decides: it chooses inputs, never a send. Times are clock milliseconds."""
 
-    news: list[tuple[str, dict[str, object]]]  # log lines that are due: event and facts
+    pending_events: list[tuple[str, dict[str, object]]]  # log lines that are due: event and facts
 
     def first_choice(self, now: float, kind: str, number: bytes, usual: int) -> int:
         """The pool of first choice of a call; `usual` is what its front says."""
 
-    def listed(self, now: float, desks: Iterable[Desk]) -> None:
+    def update_desks(self, now: float, desks: Iterable[Desk]) -> None:
         """The whole list as it is now."""
 
-    def reported(self, now: float, desk: str, idle: float) -> None:
+    def report_idle_agents(self, now: float, desk: str, idle: float) -> None:
         """A desk told how many agents are free."""
 
     def step(self, now: float) -> None:
         """Time has passed."""
 
-    def inputs(self, now: float) -> Settings:
+    def decision_settings(self, now: float) -> Settings:
         """The settings that the module is to decide by."""
 
 
 class Advisor(Protocol):
     """Local rules: they may change what is known of a call before the module decides, and nothing after."""
 
-    def extend(self, settings: Settings) -> Settings:
+    def extend_settings(self, settings: Settings) -> Settings:
         """The settings for the module: classes may be added behind those that are there."""
 
     def advise(self, now: float, request: Request, listed: Mapping[str, Desk]) -> Request:
--- a/seamlb/routing/news.py
+++ b/seamlb/routing/news.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class AttemptUpdate:
     """What a server client told of an attempt."""
 
     leg: int
@@ -42,6 +42,6 @@
 
 Verdict = api.SendSetUp | api.Refuse | api.Fail
 Decision = Verdict | CallerLeft | Shutdown | Overdue  # what ends a wait with no attempt out
-AttemptNews = Heard | CallerLeft | api.Cancel | TimedOut | Shutdown  # what ends the wait for a server
-CallNews = Heard | CallerLeft  # what ends a call that stands
-News = Verdict | api.Cancel | CallerLeft | TimedOut | Shutdown | Overdue | Heard
+AttemptNews = AttemptUpdate | CallerLeft | api.Cancel | TimedOut | Shutdown  # what ends the wait for a server
+CallNews = AttemptUpdate | CallerLeft  # what ends a call that stands
+News = Verdict | api.Cancel | CallerLeft | TimedOut | Shutdown | Overdue | AttemptUpdate
--- a/seamlb/routing/seam.py
+++ b/seamlb/routing/seam.py
@@ -14,79 +14,79 @@
 from seamlb.routing.model import Desk
 
 
-class Part:
+class InputFilter:
     """A subsystem's part of one agent; as it stands it changes nothing. `now` is seconds, `unix_ms` milliseconds."""
 
     @property
-    def open(self) -> float:
+    def max_open(self) -> float:
         """Calls that may be open at most."""
         return math.inf
 
-    def look(self) -> bool:
+    def refresh(self) -> bool:
         """Is something else to be acted on than when this was last asked? Asked for every event: it must be cheap."""
         return False
 
-    def settings(self, settings: Settings) -> Settings:
+    def filter_settings(self, settings: Settings) -> Settings:
         """The settings that the module is to have."""
         return settings
 
-    def sent(self, now: float, attempt: int, desk: str) -> None:
+    def attempt_started(self, now: float, attempt: int, desk: str) -> None:
         """The module has decided on an attempt."""
 
-    def ended(self, now: float, attempt: int, status: Status) -> None:
+    def attempt_ended(self, now: float, attempt: int, status: Status) -> None:
         """An attempt was answered or is over; also told of one that never began."""
 
-    def listed(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
+    def filter_desks(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
         """News of the list, as whoever stands behind is to have them."""
         return list(desks)
 
-    def changed(self, now: float, unix_ms: float) -> list[Desk]:
+    def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
         """Desks of which those behind have to be told something else now."""
         return []
 
 
-class Seam:
+class InputFilterChain:
     """The parts of one agent, in their order."""
 
     def __init__(self) -> None:
-        self.parts: list[Part] = []
+        self.filters: list[InputFilter] = []
 
-    def look(self) -> bool:
+    def refresh(self) -> bool:
         """Has any part something else to act on?"""
-        news = [part.look() for part in self.parts]  # all of them, as each remembers what it has told
+        news = [part.refresh() for part in self.filters]  # all of them, as each remembers what it has told
         return True in news
 
     @property
-    def open(self) -> float:
+    def max_open(self) -> float:
         """Calls that may be open: the least that a part allows."""
-        return min((part.open for part in self.parts), default=math.inf)
+        return min((part.max_open for part in self.filters), default=math.inf)
 
-    def settings(self, settings: Settings) -> Settings:
+    def filter_settings(self, settings: Settings) -> Settings:
         """The settings as all parts change them, in order."""
-        for part in self.parts:
-            settings = part.settings(settings)
+        for part in self.filters:
+            settings = part.filter_settings(settings)
         return settings
 
-    def sent(self, now: float, attempt: int, desk: str) -> None:
+    def attempt_started(self, now: float, attempt: int, desk: str) -> None:
         """An attempt goes to a server."""
-        for part in self.parts:
-            part.sent(now, attempt, desk)
+        for part in self.filters:
+            part.attempt_started(now, attempt, desk)
 
-    def ended(self, now: float, attempt: int, status: Status) -> None:
+    def attempt_ended(self, now: float, attempt: int, status: Status) -> None:
         """An attempt has ended."""
-        for part in self.parts:
-            part.ended(now, attempt, status)
+        for part in self.filters:
+            part.attempt_ended(now, attempt, status)
 
-    def listed(self, now: float, unix_ms: float, desks: Sequence[Desk], whole: bool) -> Sequence[Desk]:
+    def filter_desks(self, now: float, unix_ms: float, desks: Sequence[Desk], whole: bool) -> Sequence[Desk]:
         """News of the list as all parts change it, in order."""
-        for part in self.parts:
-            desks = part.listed(now, unix_ms, desks, whole)
+        for part in self.filters:
+            desks = part.filter_desks(now, unix_ms, desks, whole)
         return desks
 
-    def changed(self, now: float, unix_ms: float) -> list[Desk]:
+    def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
         """Desks of which the module has to be told something else; what a part changes goes through those behind."""
         found: dict[str, Desk] = {}
-        for part in self.parts:
-            earlier = part.listed(now, unix_ms, list(found.values()), False) if found else []
-            found = {one.ident: one for one in (*part.changed(now, unix_ms), *earlier)}
+        for part in self.filters:
+            earlier = part.filter_desks(now, unix_ms, list(found.values()), False) if found else []
+            found = {one.ident: one for one in (*part.changed_desks(now, unix_ms), *earlier)}
         return list(found.values())
--- a/seamlb/subsystems/__init__.py
+++ b/seamlb/subsystems/__init__.py
@@ -14,7 +14,7 @@
 from seamlb.routing.agent import Agent
 
 if TYPE_CHECKING:
-    from seamlb.subsystems.rules import RulesPart
+    from seamlb.subsystems.rules import PluginsSubsystem
 
 Table = Callable[[], Mapping[str, Any]]
 Order = Callable[[str], str]  # what is asked; why not, or empty
@@ -89,10 +89,10 @@
     return found
 
 
-def local_rules(config: Config, plugins: Plugins, clock: Callable[[], float]) -> RulesPart | None:
+def local_rules(config: Config, plugins: Plugins, clock: Callable[[], float]) -> PluginsSubsystem | None:
     """The plug-ins of the start, which the agent is made with; without their table none, also after a SIGHUP."""
     if plugins.plugins is None:
         return None
-    from seamlb.subsystems.rules import RulesPart
+    from seamlb.subsystems.rules import PluginsSubsystem
 
-    return RulesPart(config, plugins.plugins, clock)
+    return PluginsSubsystem(config, plugins.plugins, clock)
--- a/seamlb/subsystems/fleet.py
+++ b/seamlb/subsystems/fleet.py
@@ -20,7 +20,7 @@
 
     def __init__(self, config: Config, table: MembersConfig, keys: MemberKeys, agent: Agent) -> None:
         self.link = MembershipService(
-            table, keys, config.name, config.settings.instances, config.inherited is not None, agent.share_among
+            table, keys, config.name, config.settings.instances, config.inherited is not None, agent.set_instances
         )
         self.link.set_metadata(
             f"{__version__} {config.zones[config.settings.zone] if config.zones else ''}".encode()[:32]
--- a/seamlb/subsystems/lists.py
+++ b/seamlb/subsystems/lists.py
@@ -10,7 +10,7 @@
 from seamlb.discovery.consul import Consul
 from seamlb.extras import Plugins
 from seamlb.routing.agent import Agent
-from seamlb.routing.model import Changed, Discovery
+from seamlb.routing.model import DeskListCallback, Discovery
 from seamlb.subsystems import Subsystem
 
 KNOW = 1.5  # seconds that the first list waits for the sources that are silent
@@ -21,7 +21,7 @@
 
     def __init__(self, config: Config, plugins: Plugins, agent: Agent) -> None:
         self.begin_list: Callable[[], None] | None = None
-        to_board: Changed = agent.list_changed
+        to_board: DeskListCallback = agent.list_changed
         to_consul = to_board
         if plugins.consul:  # a board may come at SIGHUP
             to_board, to_consul = self._merged(agent.list_changed, bool(config.board or config.known))
@@ -30,7 +30,7 @@
         if plugins.consul:
             self.members.append(Consul(plugins.consul, config.zones, to_consul, config.seed))
 
-    def _merged(self, changed: Changed, board: bool) -> tuple[Changed, Changed]:
+    def _merged(self, changed: DeskListCallback, board: bool) -> tuple[DeskListCallback, DeskListCallback]:
         # Imported where there are two: the platform's path has one.
         from seamlb.agree.merged import Merged
 
--- a/seamlb/subsystems/peers.py
+++ b/seamlb/subsystems/peers.py
@@ -55,7 +55,7 @@
     def _received(self, data: bytes, address: tuple[str, int]) -> None:
         sender = self.senders.get(address)
         if sender is not None and len(data) <= MAX_DATAGRAM:
-            self.agent.peer_said(sender, data)
+            self.agent.peer_message(sender, data)
 
     def send(self, target: int | None, payload: bytes) -> None:
         """Send a datagram to one peer, or to all."""
--- a/seamlb/subsystems/plan.py
+++ b/seamlb/subsystems/plan.py
@@ -29,12 +29,12 @@
         every: Callable[[float, str, Callable[[], None]], None],
     ) -> None:
         self.config, self.first, self.agent, self.every = config, first, agent, every
-        self.guide: Guide | None = None
+        self.follower: Guide | None = None
 
     @property
     def steady(self) -> bool:  # type: ignore[override]
         """Do new settings wait for a restart?"""
-        return self.guide is not None
+        return self.follower is not None
 
     async def begin(self) -> None:
         """Follow the plan of the files."""
@@ -46,17 +46,17 @@
         # Imported where it is switched on: the platform's path has none of these libraries.
         from seamlb.planning.follow import Guide
 
-        self.guide = self.agent.guide = Guide(self.config.settings, self.config.tenants)
-        self.guide.listed(self.agent.clock(), self.agent.listed.values())
-        self.guide.adopt(self.agent.clock(), plan)
-        self.agent.steer()
-        self.every(EVERY, "plan", self.agent.steer)
+        self.follower = self.agent.steering = Guide(self.config.settings, self.config.tenants)
+        self.follower.update_desks(self.agent.clock(), self.agent.listed.values())
+        self.follower.adopt(self.agent.clock(), plan)
+        self.agent.apply_steering()
+        self.every(EVERY, "plan", self.agent.apply_steering)
 
     def reload(self, config: Config, plugins: Plugins) -> None:
         """Follow the files' new plan."""
-        if self.guide:
-            self.guide.adopt(self.agent.clock(), plugins.plan)
-            self.agent.steer()
+        if self.follower:
+            self.follower.adopt(self.agent.clock(), plugins.plan)
+            self.agent.apply_steering()
         elif plugins.plan:
             self.config = config
             self.follow(plugins.plan)
--- a/seamlb/subsystems/rules.py
+++ b/seamlb/subsystems/rules.py
@@ -15,7 +15,7 @@
 BEAT_EVERY = 0.1  # seconds between two portions of what plug-ins learn beside the calls
 
 
-class RulesPart(Subsystem):
+class PluginsSubsystem(Subsystem):
     """`[plugins]`; the agent is made with its advisor, and told here afterwards."""
 
     TAKES = ("plugins",)
--- a/seamlb/subsystems/versions.py
+++ b/seamlb/subsystems/versions.py
@@ -20,9 +20,9 @@
 
     def __init__(self, config: Config, table: Agreed, agent: Agent) -> None:
         self.table = table
-        self.link = AgreeLink(table, config.name, config.zones, agent.look)
-        agent.seam.parts.append(self.link.acting)
-        agent.look()
+        self.link = AgreeLink(table, config.name, config.zones, agent.refresh)
+        agent.filter_chain.filters.append(self.link.acting)
+        agent.refresh()
 
     def tables(self) -> Mapping[str, Table]:
         """What is acted on, for operators."""
--- a/seamlb/subsystems/zones.py
+++ b/seamlb/subsystems/zones.py
@@ -26,7 +26,7 @@
         self.overlay = ZoneFilter(
             config.zones, config.settings.instances, table.bears, stall, regions, table.out, table.ramp
         )
-        agent.seam.parts.append(self.overlay)
+        agent.filter_chain.filters.append(self.overlay)
 
     def tables(self) -> Mapping[str, Table]:
         """The zones, for operators."""
@@ -59,4 +59,4 @@
         for name, facts in self.overlay.zones.pending_events:
             log.event(name, **facts | {"zone": self.names[int(str(facts["zone"]))]})
         self.overlay.zones.pending_events.clear()
-        self.agent.desks_changed()
+        self.agent.push_desk_changes()
--- a/seamlb/zones/overlay.py
+++ b/seamlb/zones/overlay.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from seamlb.routing.model import Availability, Desk, Status
-from seamlb.routing.seam import Part
+from seamlb.routing.seam import InputFilter
 from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, Paces, Vote, Zones, ZoneState
 from seamlb.zones.sight import Sight
 
@@ -21,7 +21,7 @@
 LIVES = (Status.OK, Status.FULL, Status.ERROR)  # the desk answered
 
 
-class ZoneFilter(Part):
+class ZoneFilter(InputFilter):
     """One agent's: fed with its attempts and the others' votes, asked what its module is to believe."""
 
     def __init__(
@@ -48,12 +48,12 @@
 
     # -- attempts -----------------------------------------------------------------------------
 
-    def sent(self, now: float, attempt: int, desk: str) -> None:
+    def attempt_started(self, now: float, attempt: int, desk: str) -> None:
         """An attempt goes out."""
         self.out[attempt] = now, desk
         self.paces.sent(desk)
 
-    def ended(self, now: float, attempt: int, status: Status) -> None:
+    def attempt_ended(self, now: float, attempt: int, status: Status) -> None:
         """It is over; one that stalled is told already. One from before its zone was left tells of that time."""
         at, desk = self.out.pop(attempt, (0.0, ""))
         if desk in self.desks and status in (*FAILED, *LIVES):
@@ -69,7 +69,7 @@
         self.divisor, self.votes = max(1, divisor), dict(others)
         for attempt, (at, _) in list(self.out.items()):
             if now - at > self.stall:  # its end may be long in coming
-                self.ended(now, attempt, Status.TIMEOUT)
+                self.attempt_ended(now, attempt, Status.TIMEOUT)
         before = {number: zone.state for number, zone in self.zones.zones.items()}
         self.zones.step(now, self.vote(now), others)
         for number, zone in self.zones.zones.items():
@@ -105,7 +105,7 @@
             return replace(desk, availability=Availability.DRAINING)
         return desk
 
-    def listed(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
+    def filter_desks(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
         """News of the list, as the module is to have them."""
         desks = list(desks)
         if whole:
@@ -121,7 +121,7 @@
         self.told |= {one.ident: one for one in found if one.availability != Availability.GONE}
         return found
 
-    def changed(self, now: float, unix_ms: float) -> list[Desk]:
+    def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
         """Desks of which the module has to be told something else now."""
         found = []
         for name, desk in self.desks.items():
--- a/tests/agreed.py
+++ b/tests/agreed.py
@@ -14,7 +14,7 @@
 from seamlb.agree.holder import Stance
 from seamlb.agree.relations import KINDS
 from seamlb.agree.table import founding
-from tests.fleet import GOOD, ROOT, own_host
+from tests.fleet import GOOD_COMMAND, ROOT, own_host
 from tests.injector import Injector
 from tests.loopback import HANG_TIMEOUT
 from tests.processes import log_events
@@ -140,9 +140,9 @@
                 )
             )
         for name in self.names:
-            await self.begin(name, (ways or {}).get(name, GOOD))
+            await self.begin(name, (ways or {}).get(name, GOOD_COMMAND))
 
-    async def begin(self, name: str, command: tuple[str, ...] = GOOD) -> None:
+    async def begin(self, name: str, command: tuple[str, ...] = GOOD_COMMAND) -> None:
         """Start a process for an agent."""
         self.starts[name] = self.starts.get(name, -1) + 1
         with open(self.folder / f"{name}.{self.starts[name]}.log", "wb") as out:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -28,10 +28,10 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-GOOD = (sys.executable, "-m", "seamlb")
+GOOD_COMMAND = (sys.executable, "-m", "seamlb")
 
 
-def bad(*way: str) -> tuple[str, ...]:
+def faulty_command(*way: str) -> tuple[str, ...]:
     """The command of a version that is worse in a way."""
     return (sys.executable, "tests/versions.py", *way)
 
@@ -62,8 +62,8 @@
         self.folder, self.size, self.injected = folder, size, injected
         self.desks = [ScriptedDesk(self._desk, report="idle:500;circuits:500") for _ in range(desks)]
         self.attempts: Counter[str] = Counter()  # by call
-        self.keepers: dict[str, asyncio.subprocess.Process] = {}
-        self.conductors: list[asyncio.subprocess.Process] = []
+        self.supervisors: dict[str, asyncio.subprocess.Process] = {}
+        self.controllers: list[asyncio.subprocess.Process] = []
         self.injectors: dict[str, Injector] = {}
         self.listens: dict[str, str] = {}
         self.at: dict[str, str] = {}  # where each keeper is called
@@ -79,7 +79,7 @@
         await answer(peer, message)
 
     @property
-    def doubled(self) -> list[str]:
+    def duplicated_calls(self) -> list[str]:
         """Calls that were sent to a desk more than once: every desk here answers the first time."""
         return [call for call, count in self.attempts.items() if count > 1]
 
@@ -105,7 +105,7 @@
         )
         return name
 
-    def revision(self, name: str, command: Sequence[str] = GOOD, config: str = "config.json") -> str:
+    def revision(self, name: str, command: Sequence[str] = GOOD_COMMAND, config: str = "config.json") -> str:
         return f"name = {json.dumps(name)}\ncommand = {json.dumps(list(command))}\nconfig = {json.dumps(config)}\n"
 
     def plan(self, new: str, stages: Sequence[dict[str, Any]], name: str = "plan.toml", **keys: Any) -> Path:
@@ -156,7 +156,7 @@
                 f'name = "{name}"\nlisten = "{self.listens[name]}"\nat = "{at}"\nstate = "{name}"\n'
                 f"[revision]\n{self.revision('old')}"
             )
-            await self.keep(name, **environment)
+            await self.start_supervisor(name, **environment)
             if self.injected:
                 self.injectors[name] = Injector(at)
                 at = await self.injectors[name].start()
@@ -164,24 +164,24 @@
         for name in self.at:
             await self.until(lambda name=name: self.events(name, "serving"))
 
-    async def keep(self, name: str, **environment: str) -> None:
-        self.keepers[name] = await self.run(name, "keep", str(self.folder / f"{name}.toml"), **environment)
+    async def start_supervisor(self, name: str, **environment: str) -> None:
+        self.supervisors[name] = await self.run(name, "keep", str(self.folder / f"{name}.toml"), **environment)
 
-    async def conduct(self, *arguments: str, state: str = "state") -> asyncio.subprocess.Process:
+    async def start_controller(self, *arguments: str, state: str = "state") -> asyncio.subprocess.Process:
         """Call `seamlb rollout` with this change's folder; its lines go to STATE.log."""
         process = await self.run(state, *arguments, "--state", str(self.folder / state))
-        self.conductors.append(process)
+        self.controllers.append(process)
         return process
 
     def events(self, name: str, event: str) -> list[dict[str, Any]]:
         """Log lines of an agent with its keeper, or of a conductor."""
         return log_events(self.folder / f"{name}.log", event)
 
-    def agent(self, name: str) -> int:
+    def agent_pid(self, name: str) -> int:
         """The process that was started last for an agent."""
         return int(self.events(name, "process_start")[-1]["pid"])
 
-    def runs(self, name: str) -> str:
+    def revision_of(self, name: str) -> str:
         """The revision of that process."""
         return str(self.events(name, "process_start")[-1]["revision"]).partition("-")[0]
 
@@ -201,17 +201,17 @@
         return found
 
     async def stop(self) -> None:
-        for one in (*self.conductors, *self.keepers.values()):
+        for one in (*self.controllers, *self.supervisors.values()):
             if one.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
-                    one.send_signal(signal.SIGTERM if one in self.keepers.values() else signal.SIGKILL)
-        for one in (*self.conductors, *self.keepers.values()):
+                    one.send_signal(signal.SIGTERM if one in self.supervisors.values() else signal.SIGKILL)
+        for one in (*self.controllers, *self.supervisors.values()):
             try:
                 await asyncio.wait_for(one.wait(), HANG_TIMEOUT)
             except TimeoutError:
                 one.kill()
                 await one.wait()
-        for name in self.keepers:
+        for name in self.supervisors:
             for start in self.events(name, "process_start"):
                 if not any(end["process"] == start["process"] for end in self.events(name, "process_end")):
                     with contextlib.suppress(ProcessLookupError):  # its keeper was killed
--- a/tests/floods.py
+++ b/tests/floods.py
@@ -60,7 +60,7 @@
 
 def guide(plan: Plan, *names: str, until: float = float("inf")) -> Guide:
     made = Guide(settings(), tuple(o.name for o in FLOOD.offices))
-    made.listed(0.0, desks(*(names or NAMES)))
+    made.update_desks(0.0, desks(*(names or NAMES)))
     made.adopt(0.0, Followed(FLOOD, plan, "szeged", until))
     return made
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from seamlb import api
-from seamlb.config import Config, Told, read
+from seamlb.config import Config, Overrides, read
 from seamlb.daemon import Daemon
 from seamlb.protocol.sip import Framer, Message
 from seamlb.routing.model import Desk
@@ -171,7 +171,7 @@
 def config(**change: Any) -> Config:
     """A checked configuration whose settings may be changed by top-level key."""
     settings = dict(RAW) | change.pop("settings", {})
-    told = change.pop("told", Told())
+    told = change.pop("told", Overrides())
     return read({"listen": "127.0.0.1:0", "seed": "1", "settings": settings, **change}, told)
 
 
--- a/tests/one_turn.py
+++ b/tests/one_turn.py
@@ -9,8 +9,8 @@
 
 from seamlb import api
 from seamlb.routing.agent import Agent
-from seamlb.routing.life import Life, Overdue, TimedOut
-from seamlb.routing.model import Answer, Attempt, Desk, Heard, Outcome, Request
+from seamlb.routing.life import CallSession, Overdue, TimedOut
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Desk, Outcome, Request
 from tests.support import settings
 
 PATIENCE_MS = 3000.0
@@ -23,7 +23,7 @@
     """One attempt as the servers saw it."""
 
     attempt: Attempt
-    heard: Heard
+    heard: AttemptCallback
     at: float
     answered: bool = False
     ends: list[str] = field(default_factory=list)  # "told", "given up" or "released": one of them, once
@@ -36,7 +36,7 @@
         self.by_hand = by_hand
         self.attempts: list[Seen] = []
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
+    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
         loop = asyncio.get_running_loop()
         self.attempts.append(Seen(attempt, heard, loop.time()))
         if not attempt.desk:  # gone from the list, and forgotten, since it was chosen
@@ -53,7 +53,7 @@
             seen.ends += ["told"] * isinstance(what, Outcome)
             seen.heard(seen.attempt.leg, what)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         self._end(attempt, "given up")
 
     def release(self, attempt: Attempt, cause: int) -> None:
@@ -64,20 +64,20 @@
         if "told" not in seen.ends:  # an attempt that is over already is no server client's concern
             seen.ends.append(how)
 
-    def listed(self, desk: Desk) -> None: ...
-    def free(self, desk: str) -> None: ...
+    def desk_changed(self, desk: Desk) -> None: ...
+    def close_idle(self, desk: str) -> None: ...
 
 
 class Caller:
     def __init__(self) -> None:
         self.told: list[str] = []
         self.after_leaving: list[str] = []
-        self.life: Life | None = None
+        self.session: CallSession | None = None
 
     def _tell(self, how: str) -> None:
-        (self.after_leaving if self.life and self.life.left else self.told).append(how)
+        (self.after_leaving if self.session and self.session.left else self.told).append(how)
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         self._tell("stands")
         return True
 
@@ -88,7 +88,7 @@
         self._tell("failed")
 
     def released(self, cause: int) -> None:
-        if self.life and self.life.left:
+        if self.session and self.session.left:
             self.after_leaving.append("released")
 
 
@@ -110,9 +110,9 @@
         for server in self.agent.module.node.fleet.servers.values():
             server.tokens = 2.0  # enough for a second choice, whose budget begins at random
         request = Request("a" * 16, 0, "a", 0, "1234", PATIENCE_MS, 0)
-        life = self.agent.take(request, self.caller)
-        assert life is not None
-        self.life = self.caller.life = life
+        session = self.agent.accept(request, self.caller)
+        assert session is not None
+        self.session = self.caller.session = session
         self.ended_at: float | None = None  # when no further attempt may begin
 
     async def until(self, true: Callable[[], bool]) -> None:
@@ -141,24 +141,24 @@
             case "reset":
                 self.upstream.tell(Outcome(api.Status.RESET))
             case "caller left":
-                self.agent.caller_left(self.life)
+                self.agent.caller_hung_up(self.session)
             case "shutdown":
-                self.agent.give_up()
+                self.agent.fail_unanswered()
             case "time-out":
-                self.life.news.put_nowait(TimedOut(self.leg))
+                self.session.inbox.put_nowait(TimedOut(self.leg))
             case "old time-out":
-                self.life.news.put_nowait(TimedOut(self.leg - 1))
+                self.session.inbox.put_nowait(TimedOut(self.leg - 1))
             case "withdrawn":
-                self.life.news.put_nowait(api.Cancel(self.life.number, self.leg))
+                self.session.inbox.put_nowait(api.Cancel(self.session.number, self.leg))
             case "old withdrawn":
-                self.life.news.put_nowait(api.Cancel(self.life.number, self.leg - 1))
+                self.session.inbox.put_nowait(api.Cancel(self.session.number, self.leg - 1))
             case "overdue":
-                self.life.news.put_nowait(Overdue())
+                self.session.inbox.put_nowait(Overdue())
             case "bar over":
-                self.agent.tell(api.TimerFired(self.life.number))
+                self.agent.notify(api.TimerFired(self.session.number))
             case "no server":
                 self.agent.list_changed(api.Scope.CACHED, [])
-                self.agent.tell(api.TimerFired(self.life.number))
+                self.agent.notify(api.TimerFired(self.session.number))
             case _:
                 raise ValueError(event)
         if event in ("caller left", "shutdown", "overdue") and self.ended_at is None:
@@ -173,7 +173,7 @@
         async with asyncio.timeout(PATIENCE_MS / 1000.0 + 1.0):
             while self.agent.tasks:
                 await asyncio.sleep(0.05)
-                if self.life.stood:
+                if self.session.stood:
                     self.play("release")
         self.silence()
 
@@ -189,8 +189,10 @@
         ]
         late = [one for one in attempts if self.ended_at is not None and one.at > self.ended_at]
         found += [f"attempt {one.attempt.leg} began after the end" for one in late]
-        if agent.unanswered or not agent.idle.is_set() or agent.lives or agent.held.total():
-            found.append(f"left behind: {agent.unanswered} unanswered, {len(agent.lives)} lives, {agent.held}")
+        if agent.unanswered or not agent.idle.is_set() or agent.sessions or agent.open_legs.total():
+            found.append(
+                f"left behind: {agent.unanswered} unanswered, {len(agent.sessions)} lives, {agent.open_legs}"
+            )
         if agent.module.calls or any(one.pending for one in agent.module.node.fleet.servers.values()):
             found.append("the module still knows the call")
         return found
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -21,12 +21,12 @@
     return [line for line in lines if line.get("event") == event]
 
 
-class ProcessStory(DaemonTestCase):
+class ProcessTestCase(DaemonTestCase):
     """Starts processes, reads their lines, and ends those that are left."""
 
     python = sys.executable
 
-    async def process(
+    async def start_process(
         self, *arguments: str, program: str = sys.executable, fds: tuple[int, ...] = (), **environment: str
     ) -> asyncio.subprocess.Process:
         process = await asyncio.create_subprocess_exec(
@@ -47,7 +47,7 @@
         self.addAsyncCleanup(stop)
         return process
 
-    async def line(self, process: asyncio.subprocess.Process, holds: str) -> str:
+    async def wait_for_line(self, process: asyncio.subprocess.Process, holds: str) -> str:
         async with asyncio.timeout(HANG_TIMEOUT):
             while holds not in (line := (await process.stdout.readline()).decode()):
                 self.assertTrue(line, f"ended before {holds!r}")
--- a/tests/test_acting.py
+++ b/tests/test_acting.py
@@ -9,7 +9,7 @@
 from seamlb.agree.notes import Kind, Note
 from seamlb.api import Availability
 from seamlb.routing.model import Desk
-from seamlb.routing.seam import Part, Seam
+from seamlb.routing.seam import InputFilter, InputFilterChain
 from tests.agents import FOUNDING, KEYS, acting, desk, lend
 from tests.support import settings
 
@@ -23,16 +23,16 @@
         Tenants=[{"Name": f"t{n}", "AllowancePerS": 3.0} for n in range(tenants)]
         + [{"Name": "other", "AllowancePerS": 7.0}],
     )
-    assert found.look() and not found.look()  # alone
-    assert found.open == 5
-    assert found.settings(base).allowances == pytest.approx((1.0,) * tenants + (7.0,))
+    assert found.refresh() and not found.refresh()  # alone
+    assert found.max_open == 5
+    assert found.filter_settings(base).allowances == pytest.approx((1.0,) * tenants + (7.0,))
     lend(found, 3.0)
-    assert found.look() and not found.look()
-    assert found.open == 50
-    assert found.settings(base).allowances == pytest.approx((8.0,) * tenants + (7.0,))
+    assert found.refresh() and not found.refresh()
+    assert found.max_open == 50
+    assert found.filter_settings(base).allowances == pytest.approx((8.0,) * tenants + (7.0,))
     now[0] = 3.0  # the lease ends at this moment, whether or not anybody has renewed it
-    assert found.look()
-    assert found.open == 5
+    assert found.refresh()
+    assert found.max_open == 5
     assert [one[2] for one in found.news][-1] == 3.0
 
 
@@ -41,39 +41,39 @@
     found = acting(now)
     desks = [desk("d1"), desk("d2"), desk("d3"), desk("d4", 1), desk("d5", 0, Availability.DRAINING)]
     lend(found, 9.0)
-    found.look()
+    found.refresh()
 
     def states(seen: Iterable[Desk]) -> dict[str, int]:
         return {one.ident: one.availability for one in seen}
 
     ready, drains = Availability.READY, Availability.DRAINING
-    assert states(found.listed(0.0, 0.0, desks, True)) == {
+    assert states(found.filter_desks(0.0, 0.0, desks, True)) == {
         "d1": drains,
         "d2": ready,
         "d3": ready,
         "d4": drains,
         "d5": drains,
     }
-    assert found.changed(0.0, 0.0) == []
+    assert found.changed_desks(0.0, 0.0) == []
     now[0] = 10.0
-    found.look()
-    assert states(found.changed(0.0, 0.0)) == {"d2": drains, "d4": ready}
-    assert found.changed(0.0, 0.0) == []
+    found.refresh()
+    assert states(found.changed_desks(0.0, 0.0)) == {"d2": drains, "d4": ready}
+    assert found.changed_desks(0.0, 0.0) == []
     gone = desk("d1", 0, Availability.GONE)
-    assert states(found.listed(0.0, 0.0, [gone], False)) == {"d1": Availability.GONE}
+    assert states(found.filter_desks(0.0, 0.0, [gone], False)) == {"d1": Availability.GONE}
     assert "d1" not in found.told
-    assert found.listed(0.0, 0.0, [], True) == [] and not found.told
+    assert found.filter_desks(0.0, 0.0, [], True) == [] and not found.told
 
 
-class Holding(Part):
+class Holding(InputFilter):
     def __init__(self, name: str) -> None:
         self.name, self.on, self.desks = name, True, dict[str, Desk]()
 
-    def listed(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
+    def filter_desks(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
         self.desks |= {one.ident: one for one in desks}
         return [self._seen(one) for one in desks]
 
-    def changed(self, now: float, unix_ms: float) -> list[Desk]:
+    def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
         return [self._seen(one) for one in self.desks.values() if one.ident == self.name]
 
     def _seen(self, one: Desk) -> Desk:
@@ -83,13 +83,13 @@
 @pytest.mark.parametrize("first", [0, 1])
 def test_what_one_part_lets_go_another_still_holds(first: int) -> None:
     """Two parts hold the same desk; whichever lets go of it, the module hears of no free one."""
-    seam, parts = Seam(), [Holding("d1"), Holding("d1")]
-    seam.parts += parts
-    seam.listed(0.0, 0.0, [desk("d1"), desk("d2")], True)
+    seam, parts = InputFilterChain(), [Holding("d1"), Holding("d1")]
+    seam.filters += parts
+    seam.filter_desks(0.0, 0.0, [desk("d1"), desk("d2")], True)
     parts[first].on = False
-    assert [one.availability for one in seam.changed(0.0, 0.0)] == [Availability.DRAINING]
+    assert [one.availability for one in seam.changed_desks(0.0, 0.0)] == [Availability.DRAINING]
     parts[1 - first].on = False
-    assert [one.availability for one in seam.changed(0.0, 0.0)] == [Availability.READY]
+    assert [one.availability for one in seam.changed_desks(0.0, 0.0)] == [Availability.READY]
 
 
 def test_a_frame_survives_cuts_at_any_byte_and_a_changed_byte_is_never_believed() -> None:
--- a/tests/test_agree_daemon.py
+++ b/tests/test_agree_daemon.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from tests.agreed import WITHIN, Site, boottime
-from tests.fleet import bad, own_host
+from tests.fleet import faulty_command, own_host
 
 
 class Agreed(unittest.IsolatedAsyncioTestCase):
@@ -126,7 +126,7 @@
     async def test_a_disk_that_lies_is_found_and_its_member_votes_no_more(self) -> None:
         site = self.site
         marks = {name: site.folder / f"{name}.disk" for name in ("a0", "a1", "a2")}
-        await site.start(ways={name: bad("disk", str(mark)) for name, mark in marks.items()})
+        await site.start(ways={name: faulty_command("disk", str(mark)) for name, mark in marks.items()})
         await site.all_act(1)
         await site.propose("a0", open=40)
         await site.all_act(2)
@@ -163,7 +163,7 @@
     async def test_a_disk_that_fails_or_hangs_takes_its_member_out_and_keeps_nobody_waiting(self) -> None:
         site = self.site
         marks = {name: site.folder / f"{name}.disk" for name in ("a0", "a1")}
-        await site.start(ways={name: bad("disk", str(mark)) for name, mark in marks.items()})
+        await site.start(ways={name: faulty_command("disk", str(mark)) for name, mark in marks.items()})
         await site.all_act(1)
         marks["a1"].write_text("eio")
         await site.propose("a0", open=40)
@@ -181,7 +181,7 @@
 
     async def test_an_agent_that_acts_on_when_its_lease_is_over_is_caught(self) -> None:
         site = self.site
-        await site.start(ways={"a4": bad("eager")})
+        await site.start(ways={"a4": faulty_command("eager")})
         await site.all_act(1)
         site.cut({"a4"})
         await site.propose("a0", open=50)
--- a/tests/test_agree_link.py
+++ b/tests/test_agree_link.py
@@ -19,13 +19,13 @@
     link.say()
     link.table()
     assert len(asked) == 2
-    assert link.acting.look()
+    assert link.acting.refresh()
 
 
 def agreeing(folder: Path) -> AgreeLink:
     """An agent that has a lease on its first charter and no sockets."""
     first = acting([1.0]).holder.newest
-    link = AgreeLink(Agreed("", folder, first, KEYS, 1, {"a0": ""}, 1.0), "a1", (), lambda: link.acting.look())
+    link = AgreeLink(Agreed("", folder, first, KEYS, 1, {"a0": ""}, 1.0), "a1", (), lambda: link.acting.refresh())
     link.seat.lock = os.open(folder, os.O_RDONLY)
     lend(link.acting, math.inf)
     link.say()
--- a/tests/test_board_restarts.py
+++ b/tests/test_board_restarts.py
@@ -93,7 +93,7 @@
         await caller.until(200)
         daemon.agent.list_changed(api.Scope.FULL, [self.desk(0, desk.address)])
         await asyncio.sleep(0)
-        self.assertEqual((len(desk.peers), len(daemon.agent.lives)), (1, 1))
+        self.assertEqual((len(desk.peers), len(daemon.agent.sessions)), (1, 1))
 
     async def test_an_empty_list_is_believed_and_calls_are_refused_at_once(self) -> None:
         # What is gone must get nothing new: serving on against the list would break the rule on drains.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,7 +10,7 @@
 from seamlb.net.connection import Connection
 from seamlb.net.dial import connect
 from seamlb.protocol.sip import MAX_MESSAGE, Message
-from seamlb.routing.life import Heard, Life
+from seamlb.routing.life import AttemptUpdate, CallSession
 from seamlb.routing.model import Answer, Outcome
 from tests.loopback import (
     HANG_TIMEOUT,
@@ -36,35 +36,35 @@
         caller = await self.caller()
         caller.send(invite())
         await desk.until("INVITE")
-        (life,) = daemon.agent.lives.values()
-        return daemon, desk, caller, life
+        (session,) = daemon.agent.sessions.values()
+        return daemon, desk, caller, session
 
     async def test_no_attempt_begins_for_a_caller_whose_cancel_is_behind_the_decision(self) -> None:
-        daemon, desk, _, life = await self.open_call()
-        life.news.put_nowait(ended(life, api.Status.RESET))  # barred for 300 ms
-        await self.eventually(lambda: life.attempt is None)
+        daemon, desk, _, session = await self.open_call()
+        session.inbox.put_nowait(ended(session, api.Status.RESET))  # barred for 300 ms
+        await self.eventually(lambda: session.attempt is None)
         # the bar is over, and in the same turn of the loop
-        life.news.put_nowait(api.SendSetUp(life.number, 0, 1000.0))
-        daemon.agent.caller_left(life)  # the caller goes
-        await self.eventually(lambda: not daemon.agent.lives)
+        session.inbox.put_nowait(api.SendSetUp(session.number, 0, 1000.0))
+        daemon.agent.caller_hung_up(session)  # the caller goes
+        await self.eventually(lambda: not daemon.agent.sessions)
         await self.until_quiet(daemon, desk)
         self.assertEqual(self.events("call_end")[-1]["result"], "left")
 
     async def test_a_caller_that_cancels_as_the_answer_comes_is_told_nothing_and_the_call_is_released(self) -> None:
-        daemon, desk, caller, life = await self.open_call()
-        life.news.put_nowait(answered(life))
-        daemon.agent.caller_left(life)
+        daemon, desk, caller, session = await self.open_call()
+        session.inbox.put_nowait(answered(session))
+        daemon.agent.caller_hung_up(session)
         await desk.until("BYE")
         caller.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await caller.next()).get("call-id"), "t")  # and no answer before it
 
     async def test_a_caller_that_cancels_in_the_bar_is_not_sent_on(self) -> None:
-        daemon, desk, caller, life = await self.open_call()
-        life.news.put_nowait(ended(life, api.Status.RESET))  # barred for 300 ms
-        await self.eventually(lambda: life.attempt is None)
+        daemon, desk, caller, session = await self.open_call()
+        session.inbox.put_nowait(ended(session, api.Status.RESET))  # barred for 300 ms
+        await self.eventually(lambda: session.attempt is None)
         caller.send(sip_request("CANCEL", ID))
-        await self.eventually(lambda: not daemon.agent.lives)
-        daemon.agent.tell(api.TimerFired(life.number))  # the bar is over
+        await self.eventually(lambda: not daemon.agent.sessions)
+        daemon.agent.notify(api.TimerFired(session.number))  # the bar is over
         await self.until_quiet(daemon, desk)
 
     async def until_quiet(self, daemon: Any, desk: ScriptedDesk) -> None:
@@ -75,16 +75,16 @@
             self.assertNotEqual(message.method, "INVITE")
 
 
-def ended(life: Life, status: api.Status) -> Heard:
+def ended(session: CallSession, status: api.Status) -> AttemptUpdate:
     """The server's word that the attempt that is out has ended."""
-    assert life.attempt
-    return Heard(life.attempt.leg, Outcome(status))
+    assert session.attempt
+    return AttemptUpdate(session.attempt.leg, Outcome(status))
 
 
-def answered(life: Life) -> Heard:
+def answered(session: CallSession) -> AttemptUpdate:
     """The server's answer to the attempt that is out."""
-    assert life.attempt
-    return Heard(life.attempt.leg, Answer(SDP))
+    assert session.attempt
+    return AttemptUpdate(session.attempt.leg, Answer(SDP))
 
 
 class Servers(DaemonTestCase):
@@ -118,7 +118,7 @@
     async def test_a_caller_that_cancels_while_the_connection_comes_up_is_not_sent_on(self) -> None:
         daemon, desk, caller, up = await self.waiting()
         caller.send(sip_request("CANCEL", ID))
-        await self.eventually(lambda: not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.agent.sessions)
         up.set()
         await self.eventually(lambda: daemon.desks.links["d0"].open)
         daemon.desks.links["d0"].open[-1].send(sip_request("OPTIONS", "end").encode())
@@ -138,7 +138,7 @@
         await caller.until(200)
         desk.peers[0].send(bye(ID, 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
-        await self.eventually(lambda: not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.agent.sessions)
 
     async def test_an_answer_that_is_too_long_ends_the_attempt_and_another_server_takes_the_call(self) -> None:
         async def long(peer: Peer, message: Message) -> None:
@@ -182,7 +182,7 @@
     async def test_a_release_that_crossed_the_end_of_its_connection_is_told_on_another(self) -> None:
         daemon, desk, first, second = await self.standing()
         desk.peers[0].send(bye(ID, 16))
-        await self.eventually(lambda: not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.agent.sessions)
         first.close()  # it has read nothing of the release
         self.assertEqual((await second.until("BYE")).get("call-id"), ID)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,7 @@
 from seamlb.net.reason import CloseReason
 from tests.http_peers import ScriptedHttpServer, http, notices
 from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, invite, sip_request
-from tests.processes import ProcessStory
+from tests.processes import ProcessTestCase
 from tests.support import RAW
 
 SOCKETS = 64  # that the process may have
@@ -35,7 +35,7 @@
     assert clients + operators + OWN + 2 * servers <= total or clients == int(total * CLIENT_LEAST)
 
 
-class Crowded(ProcessStory):
+class Crowded(ProcessTestCase):
     async def test_a_crowd_while_discovery_is_down_keeps_neither_it_nor_servers_nor_operators_out(self) -> None:
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         listen, operators, board = [await self.free_address() for _ in range(3)]
@@ -51,8 +51,8 @@
             )
         )
         limited = f"ulimit -n {SOCKETS}; exec {self.python} -m seamlb serve --config {path}"
-        agent = await self.process("-c", limited, program="sh")
-        await self.line(agent, '"serving"')
+        agent = await self.start_process("-c", limited, program="sh")
+        await self.wait_for_line(agent, '"serving"')
         agent.send_signal(signal.SIGSTOP)  # so that all of them wait to be accepted in one turn of its loop
         crowd = [await Peer.connect(listen) for _ in range(IDLE)]
         agent.send_signal(signal.SIGCONT)
--- a/tests/test_desk_silence.py
+++ b/tests/test_desk_silence.py
@@ -38,7 +38,7 @@
         desk.server.close()  # what is open stays open, and nothing comes on it
         heard = desk.peers[0]
         await self.eventually(lambda: self.events("connection_end"))  # refused: as a desk that drains would
-        self.assertTrue(daemon.agent.lives)
+        self.assertTrue(daemon.agent.sessions)
         heard.send(STATE)
         told = asyncio.get_running_loop().time()
         self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
@@ -90,7 +90,7 @@
                 with mock.patch("seamlb.desks.keeper.connect", connect):
                     await self.eventually(lambda left=left: len(left) == 1)
                     await asyncio.sleep(0.1)
-                    self.assertTrue(daemon.agent.lives)
+                    self.assertTrue(daemon.agent.sessions)
                     desk.peers[0].send(bye("00000000000000a1", 16))
                     self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from tests.loopback import Peer, ScriptedDesk, invite
-from tests.processes import ProcessStory
+from tests.processes import ProcessTestCase
 from tests.support import RAW
 
 SOCKETS = 512  # descriptors that the process may have
@@ -27,7 +27,7 @@
     raise ValueError("no VmHWM")
 
 
-class Flooded(ProcessStory):
+class Flooded(ProcessTestCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
@@ -38,8 +38,8 @@
         settings = RAW | {"Limits": RAW["Limits"] | {"MaxOpen": MAX_OPEN}}
         limits = {"sockets": SOCKETS}
         path.write_text(json.dumps({"settings": settings, "listen": self.listen, "known": known, "limits": limits}))
-        self.agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
-        await self.line(self.agent, '"serving"')
+        self.agent = await self.start_process("-m", "seamlb", "serve", "--config", str(path))
+        await self.wait_for_line(self.agent, '"serving"')
         self.idle_kib = peak_kib(self.agent.pid)
         self.reader = asyncio.create_task(self.agent.stdout.read())
         self.addAsyncCleanup(desk.stop)
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -31,7 +31,7 @@
 def test_a_lost_desk_is_not_drawn_from_that_moment_on(plan: Plan) -> None:
     for phase in (2, 0):  # draining, gone
         made = guide(plan)
-        made.listed(10.0, [*desks(*(n for n in NAMES if n != "szeged-1")), *desks("szeged-1", phase=phase)])
+        made.update_desks(10.0, [*desks(*(n for n in NAMES if n != "szeged-1")), *desks("szeged-1", phase=phase)])
         for kind in FLOOD.kind:
             assert "szeged-1" not in drawn(made, 10.0, kind, 200)
             assert sum(made.shares()[kind].values()) == 1000
@@ -41,7 +41,7 @@
     made = guide(plan)
     without, now = [n for n in NAMES if n != "szeged-1"], 0.0
     for at, present in ((100.0, without), (400.0, NAMES), (700.0, without), (900.0, NAMES)):
-        made.listed(at, desks(*present))
+        made.update_desks(at, desks(*present))
         made.step(at)
         assert "szeged-1" not in made.shares()["level-check"]
     back = None
@@ -60,7 +60,7 @@
 
 def test_a_cold_desk_is_given_what_its_processor_has_grown_to(plan: Plan) -> None:
     made = guide(plan, *(n for n in NAMES if n != "szeged-1"))
-    made.listed(1e6, [*desks(*(n for n in NAMES if n != "szeged-1")), *desks("szeged-1", since=1e6)])
+    made.update_desks(1e6, [*desks(*(n for n in NAMES if n != "szeged-1")), *desks("szeged-1", since=1e6)])
     capacity = []
     for now in (1e6, 1e6 + 3000.0, 1e6 + 20_000.0):
         made.step(now)
@@ -83,58 +83,58 @@
     takes = {desk for desk, kind in plan.placement if kind == "alert-confirm"}
     left = [n for n in NAMES if n not in takes]
     made = guide(plan)
-    made.listed(5.0, desks(*left))
+    made.update_desks(5.0, desks(*left))
     told = drawn(made, 5.0, "alert-confirm", 300)
     assert set(told) == set(left)
     made.first_choice(6.0, "alert-confirm", b"1", 99)
-    assert [name for name, _ in made.news].count("plan_class_unplaced") == 1
-    pools = {kind.name: kind.pools for kind in made.inputs(5.0).classes}
+    assert [name for name, _ in made.pending_events].count("plan_class_unplaced") == 1
+    pools = {kind.name: kind.pools for kind in made.decision_settings(5.0).classes}
     assert pools["alert-confirm"] is None and pools["level-check"] is not None
-    made.listed(7.0, [])
+    made.update_desks(7.0, [])
     assert made.first_choice(7.0, "alert-confirm", b"1", 99) == 99
 
 
 def test_planned_desks_that_are_not_listed_are_told_of_once(plan: Plan) -> None:
     made = guide(plan, "szeged-1", "szeged-2")
     for now in (1.0, 2.0, 600.0):
-        made.listed(now, desks("szeged-1", "szeged-2"))
+        made.update_desks(now, desks("szeged-1", "szeged-2"))
         made.step(now)
-    assert [name for name, _ in made.news].count("plan_desks_missing") == 1
+    assert [name for name, _ in made.pending_events].count("plan_desks_missing") == 1
 
 
 def test_a_stale_plan_steers_nothing(plan: Plan) -> None:
     made = guide(plan, until=1000.0)
     assert made.first_choice(999.0, "level-check", b"1", 99) != 99
     for now in (1000.0, 1001.0):
-        assert made.first_choice(now, "level-check", b"1", 99) == 99 and made.inputs(now) == made.settings
-    assert [name for name, _ in made.news].count("plan_stale") == 1
+        assert made.first_choice(now, "level-check", b"1", 99) == 99 and made.decision_settings(now) == made.settings
+    assert [name for name, _ in made.pending_events].count("plan_stale") == 1
 
 
 def test_pools_and_allowances_reach_the_module_as_settings(plan: Plan) -> None:
     made = guide(plan)
-    told = made.inputs(0.0)
+    told = made.decision_settings(0.0)
     for kind in told.classes:
         assert kind.pools == {NAMES.index(d) for d, k in plan.placement if k == kind.name}
     assert told.allowances == pytest.approx((14.2, 10.0, 2.1), rel=0.02)
     bare = Guide(settings(Tenants=[]), ())
-    bare.listed(0.0, desks(*NAMES))
+    bare.update_desks(0.0, desks(*NAMES))
     bare.adopt(0.0, Followed(FLOOD, plan, ""))
-    assert bare.inputs(0.0).allowances == ()  # the module ranks without shares then
+    assert bare.decision_settings(0.0).allowances == ()  # the module ranks without shares then
 
 
 def test_full_counts_when_it_lasts(plan: Plan) -> None:
     made = guide(plan)
-    made.reported(0.0, "szeged-1", 0.0)
+    made.report_idle_agents(0.0, "szeged-1", 0.0)
     assert not made._state(500.0, "szeged-1").full and made._state(1500.0, "szeged-1").full
-    made.reported(1600.0, "szeged-1", 3.0)
+    made.report_idle_agents(1600.0, "szeged-1", 3.0)
     assert not made._state(9000.0, "szeged-1").full
-    made.reported(0.0, "nobody", 0.0)
+    made.report_idle_agents(0.0, "nobody", 0.0)
 
 
 def test_a_guide_forgets_desks_that_no_plan_names(plan: Plan) -> None:
     made = guide(plan)
     for now in range(100):
-        made.listed(float(now), [*desks(*NAMES), Desk(f"new-{now}", "", 0, 1, 1, 0.0)])
+        made.update_desks(float(now), [*desks(*NAMES), Desk(f"new-{now}", "", 0, 1, 1, 0.0)])
     assert len(made.desks) == len(NAMES) + 1
 
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -9,7 +9,7 @@
 from seamlb import api, log
 from seamlb.emulator.clock import run
 from seamlb.routing.agent import Agent
-from seamlb.routing.model import Answer, Attempt, Desk, Heard, Outcome, Request, Status
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Desk, Outcome, Request, Status
 from tests.support import RAW, settings
 
 CELLS = 4
@@ -23,7 +23,7 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
+    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
         loop, end = asyncio.get_running_loop(), self.rng.choice(list(Status))
         if self.rng.random() < 0.8:
             loop.call_later(0.01, heard, attempt.leg, Answer(b""))
@@ -31,14 +31,14 @@
         elif end is not Status.TIMEOUT:
             loop.call_later(0.02, heard, attempt.leg, Outcome(end))
 
-    def listed(self, desk: Desk) -> None: ...
-    def give_up(self, attempt: Attempt) -> None: ...
+    def desk_changed(self, desk: Desk) -> None: ...
+    def cancel(self, attempt: Attempt) -> None: ...
     def release(self, attempt: Attempt, cause: int) -> None: ...
-    def free(self, desk: str) -> None: ...
+    def close_idle(self, desk: str) -> None: ...
 
 
 class Caller:
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         return True
 
     def refused(self, back_off_ms: float) -> None: ...
@@ -84,10 +84,10 @@
             ]
             agent.list_changed(api.Scope.DELTA, [*gone, *desks])
         if number % 4 == 3:
-            agent.retune(versions[number // 4 % 2].following(agent.settings))
+            agent.apply_settings(versions[number // 4 % 2].following(agent.settings))
         for _ in range(CALLS):
             await asyncio.sleep(ROUND / CALLS * rng.random())
-            life = agent.take(
+            life = agent.accept(
                 Request(
                     f"{rng.getrandbits(64):x}",
                     rng.randrange(2),
@@ -100,23 +100,23 @@
                 Caller(),
             )
             if life and rng.random() < 0.1:
-                loop.call_later(0.5, agent.caller_left, life)
+                loop.call_later(0.5, agent.caller_hung_up, life)
             if leak:
                 lost.append(life)
         if (number + 1) % (rounds // 5) == 0:
             await asyncio.sleep(60.0)
-            assert not agent.lives and not agent.tasks, (agent.lives, agent.tasks)
+            assert not agent.sessions and not agent.tasks, (agent.sessions, agent.tasks)
             counts.append(kept(agent, set()) + len(lost))
     return counts
 
 
 class Keeping(unittest.TestCase):
     def test_nothing_grows_with_replaced_desks_callers_and_reloads(self) -> None:
-        with log.silent():
+        with log.muted():
             counts = run(play(500))
         self.assertLess(max(counts[1:]), 1.1 * counts[0] + 20, counts)
 
     def test_a_leak_would_be_seen(self) -> None:
-        with log.silent():
+        with log.muted():
             counts = run(play(100, leak=True))
         self.assertGreater(counts[-1], 1.1 * counts[0] + 20, counts)
--- a/tests/test_last_releases.py
+++ b/tests/test_last_releases.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from seamlb import api
-from seamlb.routing.life import Heard
+from seamlb.routing.life import AttemptUpdate
 from seamlb.routing.model import Outcome
 from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, bye, invite, sip_request
 
@@ -28,7 +28,7 @@
         # Guards the end of a call from being acknowledged to its server and told to nobody.
         desk, caller = await self.standing()
         peer = desk.peers[0]
-        self.daemon.tend()
+        self.daemon.update_connections()
         peer.send(bye(ID, 16))
         with self.assertRaises(EOFError):
             await caller.next()
@@ -51,7 +51,7 @@
         await desk.until("ACK")
         last = max(self.daemon.front.clients, key=lambda one: one.connection.last_read)
         last.connection.in_use = lambda: True  # it stays for a moment, as with bytes unwritten
-        self.daemon.tend()
+        self.daemon.update_connections()
         peer = desk.peers[0]
         peer.send(bye(ID, 16))
         with self.assertRaises(EOFError):
@@ -63,16 +63,16 @@
         # Guards the same release where it came first, and the loop has not come to it.
         desk, caller = await self.standing()
         desk.peers[0].send(bye(ID, 16))
-        self.daemon.tend()
+        self.daemon.update_connections()
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
     async def test_a_release_that_was_read_in_this_turn_is_told_before_the_last_caller_goes(self) -> None:
         # Guards the same release one step on: read and confirmed, and its call's coroutine has not run yet.
         desk, caller = await self.standing()
-        (life,) = self.daemon.agent.lives.values()
-        assert life.attempt
-        life.news.put_nowait(Heard(life.attempt.leg, Outcome(api.Status.OK)))
-        self.daemon.tend()
+        (session,) = self.daemon.agent.sessions.values()
+        assert session.attempt
+        session.inbox.put_nowait(AttemptUpdate(session.attempt.leg, Outcome(api.Status.OK)))
+        self.daemon.update_connections()
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
     async def test_a_release_that_nobody_could_be_told_is_not_confirmed(self) -> None:
@@ -100,7 +100,7 @@
         desk.peers[0].send(bye(ID, 16))
         await self.eventually(lambda: daemon.front.releases.pending)
         daemon.lifecycle.terminate(asyncio.get_running_loop().time() - 1.0)
-        daemon.tend()
+        daemon.update_connections()
         self.assertEqual((await caller.until("BYE")).get("call-id"), ID)
 
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from seamlb import api, lifecycle, log
-from seamlb.config import Told
-from seamlb.daemon import TEND_EVERY
+from seamlb.config import Overrides
+from seamlb.daemon import UPDATE_INTERVAL_S
 from seamlb.fronts import management
 from seamlb.protocol.http import ResponseReader
 from tests.loopback import HANG_TIMEOUT, Peer, ScriptedDesk, bye, config, invite, never_answer, refuse, sip_request
@@ -20,7 +20,7 @@
         daemon = await self.start(*desks, management="127.0.0.1:0", **change)
         daemon.management.start()
         self.operators = f"127.0.0.1:{daemon.management.listener.port}"
-        daemon._every(TEND_EVERY, "lifecycle", daemon.tend)
+        daemon._every(UPDATE_INTERVAL_S, "lifecycle", daemon.update_connections)
         return daemon
 
     async def raw(self, data: bytes) -> bytes:
@@ -40,7 +40,7 @@
         self.assertEqual((await self.call("GET", "/admin/measures"))[0], 404)
         self.assertIsNone(daemon.agent.measure)
         await daemon.close()
-        with mock.patch("tests.loopback.config", lambda **change: config(**change, told=Told(measures=True))):
+        with mock.patch("tests.loopback.config", lambda **change: config(**change, told=Overrides(measures=True))):
             daemon = await self.serve(ScriptedDesk(), ScriptedDesk(refuse(486)))
         caller = await self.caller()
         for number, dest in enumerate((0, 0, 1)):
@@ -116,7 +116,7 @@
         await self.eventually(lambda: client.framer.data)
         with mock.patch.multiple(lifecycle, SETTLE=0.0, CALM=0.0, HURRY=0.0):
             await self.call("POST", "/admin/quiesce")
-            daemon.tend()
+            daemon.update_connections()
             caller.send(data[40:])
             self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a1")
 
@@ -137,7 +137,7 @@
                 caller = await self.sip_caller(daemon, transport)
                 for number in ("ok", "503"):
                     await caller.invite(number)
-                told = daemon.figures()
+                told = daemon.stats()
                 self.assertEqual((told["fulfilled"]["a"], told["throttled"]["a"], told["relayed"]), (1, 1, 2))
 
     async def test_what_is_wrong_is_said_and_a_drain_can_not_be_called_back(self) -> None:
@@ -197,7 +197,7 @@
         await caller.until(503)
         caller.send(sip_request("CANCEL", "00000000000000a2"))  # counts nowhere: nobody was told anything
         await kept.until("CANCEL")
-        daemon.agent.give_up()
+        daemon.agent.fail_unanswered()
         await caller.until(500)
         told = await self.figures()
         self.assertEqual(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -214,16 +214,16 @@
             await caller.until(200)
             agent.list_changed(api.Scope.DELTA, [replace(here, availability=gone), self.desk(0, desk.address)])
             self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
-            await self.eventually(lambda: not agent.lives)
+            await self.eventually(lambda: not agent.sessions)
         self.assertEqual(list(agent.numbers), ["d0"])
         self.assertEqual(list(agent.names), list(agent.numbers.values()))
         self.assertEqual(agent.next_number, 2021)  # 2,000 desks, and d0 anew each time: no number was given twice
         self.assertEqual((len(agent.listed), len(agent.module.node.fleet.servers), len(desks.links)), (1, 1, 1))
         for left in (
-            agent.lives,
+            agent.sessions,
             agent.module.calls,
             agent.module.callers.turned_away,
-            +agent.held,
+            +agent.open_legs,
             desks.legs,
             daemon.front.calls,
             daemon.front.releases.pending,
--- a/tests/test_paused_process.py
+++ b/tests/test_paused_process.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 from tests.loopback import HANG_TIMEOUT, SDP, Peer, ScriptedDesk, invite, never_answer, reply
-from tests.processes import ProcessStory
+from tests.processes import ProcessTestCase
 from tests.support import LONG_TARGETS, RAW
 
 PAUSE = 1.0  # seconds: above STALL_MS and the shortest aim of the settings
 
 
-class Paused(ProcessStory):
+class Paused(ProcessTestCase):
     async def paused(self, aims: dict[str, Any], desk: ScriptedDesk) -> tuple[asyncio.subprocess.Process, Peer]:
         """A process with a caller and a server."""
         members = [{"id": "d", "host_port": await desk.start(), "cell": 0, "phase": "Ready"}]
@@ -23,8 +23,8 @@
         listen = await self.free_address()
         settings = RAW | aims | {"Instances": 1}
         path.write_text(json.dumps({"settings": settings, "known": known, "listen": listen}))
-        agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
-        await self.line(agent, '"serving"')
+        agent = await self.start_process("-m", "seamlb", "serve", "--config", str(path))
+        await self.wait_for_line(agent, '"serving"')
         caller = await Peer.connect(listen)
         self.addCleanup(caller.close)
         self.addAsyncCleanup(desk.stop)
--- a/tests/test_plan_daemon.py
+++ b/tests/test_plan_daemon.py
@@ -101,8 +101,8 @@
         (self.folder / "plugins.toml").write_text("")
         daemon.reload()
         self.write(first=9)
-        assert daemon.plan.guide is not None
-        self.assertIsNone(daemon.plan.guide.followed)
+        assert daemon.plan.follower is not None
+        self.assertIsNone(daemon.plan.follower.followed)
         self.assertIs(daemon.agent.module.node.settings, daemon.config.settings)
         daemon.reload()
         await self.call("00000000000000a3")
@@ -123,11 +123,11 @@
         ):
             (self.folder / "plan.toml").write_text(text)
             (self.folder / "problem.toml").write_text(problem or PROBLEM.format(first=9))
-            before = daemon.plan.guide.followed if daemon.plan.guide else None
+            before = daemon.plan.follower.followed if daemon.plan.follower else None
             daemon.reload()
             self.assertIn(reason, self.events("reload_failed")[-1]["error"])
-            assert daemon.plan.guide is not None and before is not None
-            self.assertIs(daemon.plan.guide.followed, before)
+            assert daemon.plan.follower is not None and before is not None
+            self.assertIs(daemon.plan.follower.followed, before)
         self.assertEqual(len(self.events("reload_failed")), 5)
         await self.call("00000000000000a1")
         await second.until("INVITE")
@@ -140,7 +140,7 @@
         await self.call("00000000000000a1")
         await first.until("INVITE")
         self.assertEqual(len(self.events("plan_class_unplaced")), 0)  # told with the next step
-        daemon.agent.steer()
+        daemon.agent.apply_steering()
         self.assertEqual(len(self.events("plan_class_unplaced")), 1)
         self.assertEqual(self.events("plan_desks_missing")[-1]["desks"], ["d1"])
 
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -43,7 +43,7 @@
             self.assertEqual({(one.method, one.status) for one in told}, {("", 200), ("BYE", 0)})
             self.assertIn(SDP, [one.body for one in told])
         caller.close()
-        await self.eventually(lambda: not daemon.front.clients and not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.front.clients and not daemon.agent.sessions)
         await self.eventually(lambda: len(asyncio.all_tasks()) == tasks)
 
     async def test_a_fault_in_one_life_fails_that_call_alone(self) -> None:
@@ -62,7 +62,7 @@
         caller.send(invite("00000000000000a2"))
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a2")
         daemon.agent.list_changed(api.Scope.DELTA, [])  # whoever brings the list goes on
-        self.assertEqual([one["where"] for one in self.events("fault")], ["life", "module"])
+        self.assertEqual([one["where"] for one in self.events("fault")], ["session", "module"])
         self.assertEqual(daemon.agent.unanswered, 0)
 
 
@@ -177,7 +177,7 @@
         for uri, body in (("sip:a b@net".replace(" ", "%20"), b""), ("sip:@net", b""), (good.uri, b"x" * 15800)):
             caller.send(Message("INVITE", uri, headers=good.headers, body=body))
             self.assertEqual((await caller.next()).status, 400, uri)
-        self.assertEqual(daemon.agent.taken, 0)
+        self.assertEqual(daemon.agent.accepted, 0)
 
     async def test_who_can_be_told_nothing_is_told_by_the_end(self) -> None:
         await self.start(ScriptedDesk())
--- a/tests/test_plugin_daemon.py
+++ b/tests/test_plugin_daemon.py
@@ -16,7 +16,7 @@
 from seamlb.plugins.chain import SHADOW_CALLS
 from seamlb.plugins.control import MOST_CLIENTS
 from seamlb.plugins.service import PluginService
-from seamlb.subsystems.rules import RulesPart
+from seamlb.subsystems.rules import PluginsSubsystem
 from tests.loopback import DaemonTestCase, Peer, ScriptedDesk, config, invite, refuse
 from tests.support import RAW
 from tests.test_plugins import FAULTY
@@ -26,7 +26,7 @@
 
 
 def rules_of(daemon: Daemon) -> PluginService:
-    return next(part.service for part in daemon.parts if isinstance(part, RulesPart))
+    return next(part.service for part in daemon.subsystems if isinstance(part, PluginsSubsystem))
 
 
 class PluginStory(DaemonTestCase):
@@ -94,8 +94,8 @@
         self.write("plugin p version 1\nrule c on classify then precedence")
         daemon = await self.serve(ScriptedDesk())
         demands: list[api.CallRequest] = []
-        feed = daemon.agent.feed
-        daemon.agent.feed = lambda event: (  # type: ignore[method-assign]
+        feed = daemon.agent.handle
+        daemon.agent.handle = lambda event: (  # type: ignore[method-assign]
             demands.append(event) if isinstance(event, api.CallRequest) else None,
             feed(event),
         )[1]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,7 +14,7 @@
 from seamlb.cli import main
 from tests.http_peers import ScriptedHttpServer, http, notices
 from tests.loopback import HANG_TIMEOUT, SDP, Peer, ScriptedDesk, invite, never_answer
-from tests.processes import ProcessStory
+from tests.processes import ProcessTestCase
 from tests.support import RAW
 
 
@@ -29,7 +29,7 @@
     return {row[6] for row in table(Path("/proc/net/unix")) if len(row) > 6 and int(row[3], 16) & 0x10000}
 
 
-class Processes(ProcessStory):
+class Processes(ProcessTestCase):
     async def test_sigterm_answers_what_was_taken_then_exits(self) -> None:
         desk = ScriptedDesk(never_answer)
         member = {"id": "d", "host_port": await desk.start(), "cell": 0, "phase": "Ready"}
@@ -37,8 +37,8 @@
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         path.write_text(json.dumps({"settings": RAW, "known": known, "name": "n", "listen": "127.0.0.1:0"}))
         listen = await self.free_address()
-        agent = await self.process("-m", "seamlb", GW_CONFIG=str(path), GW_LISTEN=listen, GW_NAME="n7")
-        self.assertIn('"name":"n7"', await self.line(agent, '"serving"'))
+        agent = await self.start_process("-m", "seamlb", GW_CONFIG=str(path), GW_LISTEN=listen, GW_NAME="n7")
+        self.assertIn('"name":"n7"', await self.wait_for_line(agent, '"serving"'))
         caller = await Peer.connect(listen)
         caller.send(invite(timer=1500))
         patient = await Peer.connect(listen)
@@ -46,14 +46,14 @@
         for _ in range(2):
             await desk.until("INVITE")
         agent.send_signal(signal.SIGTERM)
-        await self.line(agent, '"draining"')
+        await self.wait_for_line(agent, '"draining"')
         late = await Peer.connect(listen)
         late.send(invite("00000000000000a2", timer=100))
         self.assertEqual((await late.next()).status, 503)
         self.assertEqual((await caller.next()).status, 503)
         self.assertEqual((await patient.next()).status, 500)  # the drain ends by itself, before its time is over
-        await self.line(agent, '"drain_late"')
-        await self.line(agent, '"ended"')
+        await self.wait_for_line(agent, '"drain_late"')
+        await self.wait_for_line(agent, '"ended"')
         self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
         for one in (late, caller, patient):
             one.close()
@@ -71,23 +71,23 @@
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         good = {"settings": RAW, "board": addresses[0], "listen": listen}
         path.write_text(json.dumps(good))
-        agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
-        await self.line(agent, '"serving"')
+        agent = await self.start_process("-m", "seamlb", "serve", "--config", str(path))
+        await self.wait_for_line(agent, '"serving"')
         await self.eventually(lambda: len(boards[0].paths) == 2)
         path.write_text(json.dumps(good | {"board": "nowhere"}))
         agent.send_signal(signal.SIGHUP)
-        await self.line(agent, "board: not host:port: 'nowhere'")
+        await self.wait_for_line(agent, "board: not host:port: 'nowhere'")
         path.write_text(json.dumps(good | {"board": addresses[1], "name": "other"}))
         agent.send_signal(signal.SIGHUP)
-        self.assertIn('"waits_for_restart":["name"]', await self.line(agent, '"reloaded"'))
+        self.assertIn('"waits_for_restart":["name"]', await self.wait_for_line(agent, '"reloaded"'))
         await self.eventually(lambda: len(boards[1].paths) == 2)
         self.assertIn("watch=3", boards[1].paths[0])
         caller = await Peer.connect(listen)
         caller.send(invite(timer=100))  # keeps the drain going for a moment
         agent.send_signal(signal.SIGTERM)
-        await self.line(agent, '"draining"')
+        await self.wait_for_line(agent, '"draining"')
         agent.send_signal(signal.SIGHUP)
-        await self.line(agent, '"reloaded"')
+        await self.wait_for_line(agent, '"reloaded"')
         self.assertEqual((await caller.next()).status, 503)
         self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
         caller.close()
@@ -111,7 +111,7 @@
         async def agent() -> asyncio.subprocess.Process:
             fd = os.dup(held.fileno())
             try:
-                process = await self.process(
+                process = await self.start_process(
                     "-m",
                     "seamlb",
                     fds=(fd,),
@@ -121,7 +121,7 @@
                 )
             finally:
                 os.close(fd)
-            await self.line(process, '"serving"')
+            await self.wait_for_line(process, '"serving"')
             return process
 
         old = await agent()
@@ -130,7 +130,7 @@
         self.assertEqual((await first.until(200)).body, SDP)
         new = await agent()  # the peers' address is bound twice now
         old.send_signal(signal.SIGTERM)
-        await self.line(old, '"draining"')
+        await self.wait_for_line(old, '"draining"')
         second = await Peer.connect(listen)
         second.send(invite("00000000000000a2"))
         self.assertEqual((await second.until(200)).body, SDP)
@@ -153,22 +153,22 @@
         with ours, theirs, taken:
             for fd, says in ((ours.fileno(), "not a listening socket"), (987, "Bad file descriptor")):
                 path.write_text(json.dumps({"settings": RAW, "listen": await self.free_address()}))
-                agent = await self.process(
+                agent = await self.start_process(
                     "-m", "seamlb", "serve", "--config", str(path), fds=(ours.fileno(),), GW_INHERITED_FD=str(fd)
                 )
-                self.assertIn(says, await self.line(agent, '"not_inherited"'))
-                await self.line(agent, '"serving"')
+                self.assertIn(says, await self.wait_for_line(agent, '"not_inherited"'))
+                await self.wait_for_line(agent, '"serving"')
             path.write_text(json.dumps({"settings": RAW, "listen": "{}:{}".format(*taken.getsockname())}))
-            agent = await self.process("-m", "seamlb", "serve", "--config", str(path), GW_INHERITED_FD="987")
-            self.assertIn("in use", await self.line(agent, "seamlb: "))
+            agent = await self.start_process("-m", "seamlb", "serve", "--config", str(path), GW_INHERITED_FD="987")
+            self.assertIn("in use", await self.wait_for_line(agent, "seamlb: "))
             self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 2)
 
     async def test_the_admin_commands_say_yes_and_no(self) -> None:
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         at = await self.free_address()
         path.write_text(json.dumps({"settings": RAW, "listen": await self.free_address(), "management": at}))
-        agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
-        await self.line(agent, '"serving"')
+        agent = await self.start_process("-m", "seamlb", "serve", "--config", str(path))
+        await self.wait_for_line(agent, '"serving"')
         for call, code, says in (
             ("health", 0, "ready"),
             ("stats", 0, '"registry_entries": 0'),
@@ -185,15 +185,15 @@
         self.assertEqual(CliRunner().invoke(main, ["admin", "health", "--at", "nowhere"]).exit_code, 2)
 
     async def test_the_example_runs_as_written(self) -> None:
-        desk = await self.process("examples/toy.py", "desk")
-        await self.line(desk, "toy desk on")
-        agent = await self.process(
+        desk = await self.start_process("examples/toy.py", "desk")
+        await self.wait_for_line(desk, "toy desk on")
+        agent = await self.start_process(
             "-m", "seamlb", "serve", "--config", "examples/config.json", "--plugins", "examples/sip.toml"
         )
-        await self.line(agent, '"serving"')
-        call = await self.process("examples/toy.py", "call", "alert-confirm")
-        self.assertIn("toy desk", await self.line(call, "SIP/2.0 200"))
-        await self.line(call, "BYE")
+        await self.wait_for_line(agent, '"serving"')
+        call = await self.start_process("examples/toy.py", "call", "alert-confirm")
+        self.assertIn("toy desk", await self.wait_for_line(call, "SIP/2.0 200"))
+        await self.wait_for_line(call, "BYE")
         self.assertEqual(await asyncio.wait_for(call.wait(), HANG_TIMEOUT), 0)
         agent.send_signal(signal.SIGTERM)
         self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
@@ -213,10 +213,10 @@
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         path.write_text(json.dumps({"settings": RAW, "name": "n", "listen": "127.0.0.1:0"}))
         listen, management = await self.free_address(), await self.free_address()
-        agent = await self.process(
+        agent = await self.start_process(
             "-m", "seamlb", GW_CONFIG=str(path), GW_LISTEN=listen, GW_MANAGEMENT=management, GW_NAME="n1"
         )
-        await self.line(agent, '"serving"')
+        await self.wait_for_line(agent, '"serving"')
         caller = await Peer.connect(listen)  # one caller, so that what a connection opens is seen too
         caller.send(invite(timer=300))
         self.assertIn((await caller.next()).status, (500, 503))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -172,7 +172,7 @@
         await ScriptedDesk().script(desk.peers[0], waits)  # the one that was open is answered as ever
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a1")
         self.assertEqual(self.events("reloaded")[-1]["waits_for_restart"], [])
-        self.assertEqual(daemon.figures()["fulfilled"], {"a": 1, "b": 0, "c": 1})
+        self.assertEqual(daemon.stats()["fulfilled"], {"a": 1, "b": 0, "c": 1})
         self.assertEqual((daemon.cfg_accepted, daemon.cfg_invalid), (1, 0))
 
     async def test_a_broken_file_changes_nothing_and_is_one_line(self) -> None:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, invite, never_answer
-from tests.processes import ROOT, ProcessStory
+from tests.processes import ROOT, ProcessTestCase
 from tests.support import RAW
 
 
@@ -31,7 +31,7 @@
         self.assertEqual((told.returncode, told.stdout), (0, "alive\n"))
 
 
-class Starts(ProcessStory):
+class Starts(ProcessTestCase):
     async def pipe_read(self, path: Path) -> int:
         """The writing end of a pipe, once the process has it open and waits for what it holds."""
         async with asyncio.timeout(HANG_TIMEOUT):
@@ -45,36 +45,36 @@
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         os.mkfifo(path)
         told = json.dumps({"settings": RAW, "listen": await self.free_address()})
-        agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
+        agent = await self.start_process("-m", "seamlb", "serve", "--config", str(path))
         pipe = await self.pipe_read(path)
         agent.send_signal(signal.SIGHUP)  # there is no handler for it yet
         path.unlink()
         path.write_text(told)  # what it reads for the signal
         os.write(pipe, told.encode())
         os.close(pipe)
-        await self.line(agent, '"reloaded"')
+        await self.wait_for_line(agent, '"reloaded"')
         agent.send_signal(signal.SIGTERM)
-        await self.line(agent, '"ended"')
+        await self.wait_for_line(agent, '"ended"')
         self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
 
 
-class Drains(ProcessStory):
+class Drains(ProcessTestCase):
     async def test_a_set_up_that_is_half_read_when_the_listener_closes_is_answered(self) -> None:
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         listen = await self.free_address()
         path.write_text(json.dumps({"settings": RAW, "listen": listen}))
-        agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
-        await self.line(agent, '"serving"')
+        agent = await self.start_process("-m", "seamlb", "serve", "--config", str(path))
+        await self.wait_for_line(agent, '"serving"')
         caller, idle = await Peer.connect(listen), await Peer.connect(listen)
         whole = invite().encode()
         agent.send_signal(signal.SIGTERM)
-        await self.line(agent, '"draining"')
+        await self.wait_for_line(agent, '"draining"')
         caller.send(whole[:40])
         with self.assertRaises(EOFError):
             await idle.next()  # idle ones go when the listener has closed; the process ended then
         caller.send(whole[40:])
         self.assertEqual((await caller.next()).status, 503)  # there is no server
-        await self.line(agent, '"ended"')
+        await self.wait_for_line(agent, '"ended"')
         self.assertEqual(await asyncio.wait_for(agent.wait(), HANG_TIMEOUT), 0)
         caller.close()
         idle.close()
@@ -88,14 +88,14 @@
         now = asyncio.get_running_loop().time()
         daemon.lifecycle.terminate(now - 1.0)  # the listener closes now
         caller.send(invite(timer=100))  # it is in the socket, and the loop has not come to it
-        daemon.tend()
-        self.assertFalse(daemon.lifecycle.over(now, daemon.agent.unanswered, len(daemon.front.clients)))
+        daemon.update_connections()
+        self.assertFalse(daemon.lifecycle.may_exit(now, daemon.agent.unanswered, len(daemon.front.clients)))
         self.assertEqual((await caller.next()).status, 503)
-        daemon.tend()
+        daemon.update_connections()
         with self.assertRaises(EOFError):
             await caller.next()
         await self.eventually(lambda: not daemon.front.clients)
-        self.assertTrue(daemon.lifecycle.over(now, daemon.agent.unanswered, len(daemon.front.clients)))
+        self.assertTrue(daemon.lifecycle.may_exit(now, daemon.agent.unanswered, len(daemon.front.clients)))
 
     async def test_what_the_system_has_accepted_when_the_listener_closes_is_served(self) -> None:
         daemon = await self.start(ScriptedDesk())
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -50,7 +50,7 @@
             caller.peer.send(caller.sent)
             self.assertEqual((await caller.peer.next()).status, 100)
         await self.eventually(lambda: self.standin.hold)
-        self.assertEqual((daemon.agent.taken, len(self.standin.hold)), (1, 1))
+        self.assertEqual((daemon.agent.accepted, len(self.standin.hold)), (1, 1))
         merged = caller.build("INVITE", number="slow", seq=caller.seq, branch="z9hG4bKother")
         merged.headers = [(n, f"{caller.seq - 1} INVITE" if n == "CSeq" else v) for n, v in merged.headers]
         caller.peer.send(merged)
@@ -143,7 +143,7 @@
         self.standin.accept(next(iter(self.standin.hold.values())))
         await self.eventually(lambda: "BYE" in self.standin.methods())
         await self.eventually(lambda: self.events("call_end"))
-        self.assertEqual((len(daemon.sip.dialogs), len(daemon.agent.lives)), (0, 0))
+        self.assertEqual((len(daemon.sip.dialogs), len(daemon.agent.sessions)), (0, 0))
 
     async def test_a_contact_with_a_name_is_not_looked_up(self) -> None:
         daemon = await self.start_sip()
@@ -194,7 +194,7 @@
                 "Content-Length: 0\r\n\r\n".encode()
             )
             self.assertEqual((await caller.peer.until(400)).status, 400)
-        self.assertEqual(daemon.agent.taken, 0)
+        self.assertEqual(daemon.agent.accepted, 0)
         self.assertEqual(self.events("fault"), [])
 
     @staticmethod
--- a/tests/test_takeover_signals.py
+++ b/tests/test_takeover_signals.py
@@ -11,7 +11,7 @@
 
 from tests.http_peers import ScriptedHttpServer, http, notices
 from tests.loopback import HANG_TIMEOUT, Peer, ScriptedDesk, invite
-from tests.processes import ProcessStory
+from tests.processes import ProcessTestCase
 from tests.support import RAW
 
 
@@ -21,7 +21,7 @@
     return None
 
 
-class Waiting(ProcessStory):
+class Waiting(ProcessTestCase):
     async def waiting(self) -> tuple[asyncio.subprocess.Process, str]:
         """A process on a socket handed down that waits for its first list, and the socket's address."""
         held = socket.create_server(("127.0.0.1", 0))
@@ -32,7 +32,9 @@
         self.write(listen, await discovery.start())
         self.addCleanup(discovery.server.close)
         fd = os.dup(held.fileno())
-        process = await self.process("-m", "seamlb", fds=(fd,), GW_CONFIG=str(self.path), GW_INHERITED_FD=str(fd))
+        process = await self.start_process(
+            "-m", "seamlb", fds=(fd,), GW_CONFIG=str(self.path), GW_INHERITED_FD=str(fd)
+        )
         os.close(fd)
         await self.eventually(lambda: discovery.paths)
         return process, listen
@@ -43,8 +45,8 @@
     async def test_a_sigterm_before_it_serves_ends_it_in_good_order(self) -> None:
         process, _ = await self.waiting()
         process.send_signal(signal.SIGTERM)
-        await self.line(process, '"draining"')
-        await self.line(process, '"ended"')
+        await self.wait_for_line(process, '"draining"')
+        await self.wait_for_line(process, '"ended"')
         self.assertEqual(await asyncio.wait_for(process.wait(), HANG_TIMEOUT), 0)
 
     async def test_a_reload_that_moves_discovery_brings_the_list_that_was_waited_for(self) -> None:
@@ -59,9 +61,9 @@
         discovery = ScriptedHttpServer(handler)
         self.write(listen, await discovery.start())
         process.send_signal(signal.SIGHUP)
-        await self.line(process, '"reloaded"')
-        await self.line(process, '"list"')
-        await self.line(process, '"serving"')
+        await self.wait_for_line(process, '"reloaded"')
+        await self.wait_for_line(process, '"list"')
+        await self.wait_for_line(process, '"serving"')
         caller = await Peer.connect(listen)
         caller.send(invite())
         await caller.until(200)
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -7,7 +7,7 @@
 from seamlb import api
 from seamlb.emulator import clock as virtual
 from seamlb.routing.agent import Agent
-from seamlb.routing.model import Answer, Attempt, Desk, Heard, Outcome, Request
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Desk, Outcome, Request
 from tests.loopback import DaemonTestCase, ScriptedDesk, invite, never_answer
 from tests.support import settings
 
@@ -18,16 +18,16 @@
     def __init__(self) -> None:
         self.attempts: list[float] = []
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
+    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
         loop = asyncio.get_running_loop()
         self.attempts.append(loop.time())
         first = len(self.attempts) == 1
         loop.call_later(0.01, heard, attempt.leg, Outcome(api.Status.RESET) if first else Answer(b""))
 
-    def listed(self, desk: Desk) -> None: ...
-    def give_up(self, attempt: Attempt) -> None: ...
+    def desk_changed(self, desk: Desk) -> None: ...
+    def cancel(self, attempt: Attempt) -> None: ...
     def release(self, attempt: Attempt, cause: int) -> None: ...
-    def free(self, desk: str) -> None: ...
+    def close_idle(self, desk: str) -> None: ...
 
 
 class Caller:
@@ -37,7 +37,7 @@
     def _tell(self, how: str) -> None:
         self.told.append((how, asyncio.get_running_loop().time()))
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         self._tell("stands")
         return True
 
@@ -62,7 +62,7 @@
             core.tokens = 2.0  # enough for a second choice, whose budget begins at random
         if deaf:
             agent._alarm = lambda token, at: None  # type: ignore[method-assign]
-        agent.take(
+        agent.accept(
             Request(
                 ident="a" * 16,
                 call_class=0,
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -112,49 +112,51 @@
             Desk("b", "", 1, 1, Availability.READY, 0.0),
             Desk("c", "", 0, 0, Availability.DRAINING, 0.0),
         ]
-        self.assertEqual(overlay.listed(0.0, 1e9, desks, True), desks)
+        self.assertEqual(overlay.filter_desks(0.0, 1e9, desks, True), desks)
         overlay.force("x", "out")
         overlay.step(1.0, {}, 1)
-        (told,) = overlay.changed(1.0, 1e9)
+        (told,) = overlay.changed_desks(1.0, 1e9)
         self.assertEqual((told.ident, told.availability), ("a", Availability.DRAINING))
         overlay.force("x", "auto")
         overlay.step(2.0 + MIN_OUT_S, {}, 1)
-        overlay.changed(2.0 + MIN_OUT_S, 2e9)
+        overlay.changed_desks(2.0 + MIN_OUT_S, 2e9)
         seen = []
         for step in range(200):
             now = 2.0 + MIN_OUT_S + TRICKLE_S + step / 10
             overlay.step(now, {}, 1)
-            seen += overlay.changed(now, 2e9)
+            seen += overlay.changed_desks(now, 2e9)
         self.assertTrue({one.availability for one in seen} == {Availability.READY, Availability.DRAINING})
         self.assertEqual({one.since_ms for one in seen}, {2e9})  # cold since then, once
         overlay.step(60.0, {}, 1)
-        overlay.changed(60.0, 3e9)
+        overlay.changed_desks(60.0, 3e9)
         self.assertEqual((overlay.told["a"].availability, overlay.told["a"].since_ms), (Availability.READY, 2e9))
-        self.assertEqual(overlay.listed(61.0, 3e9, desks[1:], True), desks[1:])
+        self.assertEqual(overlay.filter_desks(61.0, 3e9, desks[1:], True), desks[1:])
         self.assertNotIn("a", overlay.told)
 
     def test_who_is_out_says_nothing_of_how_the_zone_is_now(self) -> None:
         overlay = ZoneFilter(("x", "y"), 1, BEARS, 1.5)
-        overlay.listed(0.0, 0.0, [Desk(f"d{n}", "", n // 2, 0, Availability.READY, 0.0) for n in range(4)], True)
+        overlay.filter_desks(
+            0.0, 0.0, [Desk(f"d{n}", "", n // 2, 0, Availability.READY, 0.0) for n in range(4)], True
+        )
         for number in range(12):
-            overlay.sent(1.0, number, f"d{number % 4}")
+            overlay.attempt_started(1.0, number, f"d{number % 4}")
             if number % 4 < 2:
-                overlay.ended(1.1, number, Status.RESET)
+                overlay.attempt_ended(1.1, number, Status.RESET)
             elif number < 8:
-                overlay.ended(1.1, number, Status.OK)
+                overlay.attempt_ended(1.1, number, Status.OK)
         self.assertEqual(overlay.vote(1.2), Vote(3, 1, 0))
         for step in range(10):
             overlay.step(1.2 + step / 10, {}, 1)
-        overlay.sent(1.0, 20, "d0")
-        overlay.ended(2.5, 20, Status.TIMEOUT)  # sent before
+        overlay.attempt_started(1.0, 20, "d0")
+        overlay.attempt_ended(2.5, 20, Status.TIMEOUT)  # sent before
         self.assertEqual(overlay.vote(2.5), Vote(2, 0, 1))
 
     def test_an_attempt_that_stalls_is_evidence_before_its_end_and_once(self) -> None:
         overlay = ZoneFilter(("x", "y"), 1, BEARS, 1.5)
-        overlay.listed(0.0, 0.0, [Desk("a", "", 0, 0, Availability.READY, 0.0)], True)
-        overlay.sent(0.0, 7, "a")
+        overlay.filter_desks(0.0, 0.0, [Desk("a", "", 0, 0, Availability.READY, 0.0)], True)
+        overlay.attempt_started(0.0, 7, "a")
         overlay.step(1.6, {}, 1)
-        overlay.ended(6.0, 7, Status.TIMEOUT)
+        overlay.attempt_ended(6.0, 7, Status.TIMEOUT)
         self.assertEqual([len(one) for one in overlay.sight.ends.values()], [1])
 
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -11,20 +11,20 @@
 from typing import Any
 
 from seamlb.cli import main
-from seamlb.routing.agent import Agent, Life
+from seamlb.routing.agent import Agent, CallSession
 
 way = sys.argv.pop(1)
 rng = random.Random(1)
-live, take = Agent._live, Agent.take
+live, take = Agent._live, Agent.accept
 
 
-async def _slow(self: Agent, life: Life) -> None:
+async def _slow(self: Agent, life: CallSession) -> None:
     if rng.random() < 0.1:
         await asyncio.sleep(0.3)
     await live(self, life)
 
 
-def _refuse(self: Agent, request: Any, caller: Any) -> Life | None:
+def _refuse(self: Agent, request: Any, caller: Any) -> CallSession | None:
     if request.class_name == "b" and rng.random() < 0.5:
         self.max_open, kept = 0, self.max_open
         try:
@@ -34,7 +34,7 @@
     return take(self, request, caller)
 
 
-def _mute(self: Agent, life: Life) -> Any:
+def _mute(self: Agent, life: CallSession) -> Any:
     return asyncio.sleep(30.0) if rng.random() < 0.3 else live(self, life)
 
 
@@ -57,7 +57,7 @@
     case "slow":
         Agent._live = _slow  # type: ignore[method-assign]
     case "refuse":
-        Agent.take = _refuse  # type: ignore[method-assign]
+        Agent.accept = _refuse  # type: ignore[method-assign]
     case "mute":
         Agent._live = _mute  # type: ignore[method-assign]
     case "crash":
--- a/tests/zoned.py
+++ b/tests/zoned.py
@@ -48,7 +48,7 @@
         self.shares = {name: Shares(agents) for name in self.names}
         self.ready: dict[str, dict[str, Desk]] = {}
         for name, one in self.overlays.items():
-            self.ready[name] = {desk.ident: desk for desk in one.listed(0.0, 0.0, self.desks, True)}
+            self.ready[name] = {desk.ident: desk for desk in one.filter_desks(0.0, 0.0, self.desks, True)}
         self.zone_faults: dict[int, str] = {}  # zone: "dead" (no connection comes up) or "hangs" (nothing comes back)
         self.stalled_links: set[tuple[str, int]] = set()  # agent's link to a zone that stalls
         self.ends: list[tuple[float, int, str, int, Status]] = []
@@ -69,7 +69,7 @@
             self.net.run(STEP)
             while self.ends and self.ends[0][0] <= self.now:
                 _, number, name, _, status = heapq.heappop(self.ends)
-                self.overlays[name].ended(self.now, number, status)
+                self.overlays[name].attempt_ended(self.now, number, status)
             for name in self.names:
                 if self.net.address(name) in self.net.swims:
                     self._agent(name)
@@ -99,7 +99,7 @@
                 self._call(name, self.rng.choice(ready))
 
     def _tell(self, name: str) -> None:
-        for desk in self.overlays[name].changed(self.now, 1e6 + self.now * 1000.0):
+        for desk in self.overlays[name].changed_desks(self.now, 1e6 + self.now * 1000.0):
             self.ready[name][desk.ident] = desk
 
     def _poisson(self, mean: float) -> int:
@@ -110,7 +110,7 @@
 
     def _call(self, name: str, desk: Desk) -> None:
         number = next(self.order)
-        self.overlays[name].sent(self.now, number, desk.ident)
+        self.overlays[name].attempt_started(self.now, number, desk.ident)
         self._tell(name)
         how = "hangs" if (name, desk.zone) in self.stalled_links else self.zone_faults.get(desk.zone, "")
         after, status = {"": (0.05, Status.OK), "dead": (0.5, Status.CONNECT_FAILED), "hangs": (6.0, Status.TIMEOUT)}[
