--- a/seamlb/desks/platform.py
+++ b/seamlb/desks/platform.py
@@ -10,7 +10,7 @@
 from seamlb.desks.requests import named, reason, request
 from seamlb.net.connection import Connection
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.report import NOTES, parse_report
+from seamlb.protocol.report import DIAGNOSES, parse_load_report
 from seamlb.protocol.sip import Message, parameter, response
 from seamlb.routing.model import Answer, Attempt, AttemptCallback, Availability, Desk, Outcome, Status
 
@@ -148,7 +148,7 @@
         if message.status < 300:
             self._answered(connection, ident, leg, message)
         elif leg and not leg.stands:
-            status, note = STATUSES.get(message.status, Status.ERROR), NOTES.get(message.get("x-diagnosis"), 0)
+            status, note = STATUSES.get(message.status, Status.ERROR), DIAGNOSES.get(message.get("x-diagnosis"), 0)
             self.legs.end(leg, Outcome(status, note, self._report(message)))
 
     def _answered(self, connection: Connection, ident: str, leg: Leg | None, message: Message) -> None:
@@ -181,7 +181,7 @@
             self._released(key, message, lambda: None)
 
     def _report(self, message: Message) -> tuple[float, ...]:
-        return parse_report(message.get("x-occupancy"), self.fields)
+        return parse_load_report(message.get("x-occupancy"), self.fields)
 
 
 def _key(attempt: Attempt) -> Key:
--- a/seamlb/desks/reader.py
+++ b/seamlb/desks/reader.py
@@ -7,7 +7,7 @@
 from seamlb import log
 from seamlb.net.connection import Connection
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.sip import Framer, Message, SipError, releases
+from seamlb.protocol.sip import Framer, Message, SipError, find_byes
 
 PART_WITHIN = 0.25  # seconds for the rest of a message: an answer that stops short makes its connection useless
 SALVAGE = 0.25  # seconds for releases that were on their way when a connection of no use was given up
@@ -35,7 +35,7 @@
 
     def __init__(self, owner: ReaderOwner, connection: Connection) -> None:
         self.owner, self.connection = owner, connection
-        self.framer = Framer(whole=True)
+        self.framer = Framer(check_bodies=True)
         self.residue = bytearray()  # what came once the connection could not be read any more
         connection.message_within, connection.linger = PART_WITHIN, SALVAGE
         connection.late = self._stopped_short
@@ -49,7 +49,7 @@
             self.owner.lost(self.connection)
 
     def _received(self, data: bytes) -> None:
-        whole = self.framer.take(data, self._message, self._malformed)
+        whole = self.framer.feed_and_dispatch(data, self._message, self._malformed)
         self.connection.messages_read(whole, bool(self.framer.data))
 
     def _message(self, message: Message) -> None:
@@ -59,7 +59,7 @@
     def _malformed(self, error: SipError) -> None:
         # After one answer that can't be read none can be trusted: the set-ups on it end now, not by time-out.
         log.event("malformed", kind="desk", peer=self.connection.peer, error=str(error))
-        self._leave(CloseReason.MALFORMED, self.framer.left)
+        self._leave(CloseReason.MALFORMED, self.framer.unparsed)
 
     def _stopped_short(self) -> None:
         self._leave(CloseReason.SLOW, bytes(self.framer.data))
@@ -77,7 +77,7 @@
     def _salvage(self, data: bytes) -> None:
         """Releases of calls that stand, in bytes that can't be framed: the server sends them once only."""
         self.residue.extend(data)
-        for message in releases(bytes(self.residue)):
+        for message in find_byes(bytes(self.residue)):
             self.owner.salvaged(message)
         if len(self.residue) > SALVAGE_BYTES:
             self.connection.close(self.connection.ending or CloseReason.MALFORMED)
--- a/seamlb/desks/sip.py
+++ b/seamlb/desks/sip.py
@@ -9,10 +9,10 @@
 from seamlb import log
 from seamlb.net.address import split_address
 from seamlb.protocol.dialog import Dialog
-from seamlb.protocol.report import NOTES, parse_report
-from seamlb.protocol.sip import Message, digits, parameter, response
+from seamlb.protocol.report import DIAGNOSES, parse_load_report
+from seamlb.protocol.sip import Message, is_decimal, parameter, response
 from seamlb.routing.model import Answer, Attempt, AttemptCallback, Availability, Desk, Outcome, Status
-from seamlb.sip.endpoint import Entry, Flow, SipEndpoint, Target, uri_target
+from seamlb.sip.endpoint import Flow, SipEndpoint, Target, TransactionEntry, uri_target
 
 STATUSES = {
     408: Status.TIMEOUT,
@@ -36,7 +36,7 @@
     heard: AttemptCallback
     invite: Message
     target: Target
-    entry: Entry | None = None
+    entry: TransactionEntry | None = None
     rung: bool = False  # a provisional answer came: a CANCEL may go (9.1)
     wanted: bool = True
     dialog: Dialog | None = None
@@ -145,7 +145,7 @@
         message = Message("CANCEL", leg.invite.uri, headers=[*copied, ("CSeq", "1 CANCEL")])
         self.endpoint.request(message, leg.target, lambda answer: None, lambda how: None)
         if leg.entry:
-            self.endpoint.cancelled(leg.entry)
+            self.endpoint.cancel_sent(leg.entry)
 
     def _answer(self, leg: Leg, message: Message) -> None:
         if message.status < 200:
@@ -160,16 +160,16 @@
                 leg.attempt.leg,
                 Outcome(
                     STATUSES.get(message.status, Status.ERROR),
-                    NOTES.get(message.get("x-diagnosis"), 0),
-                    parse_report(message.get("x-occupancy"), self.fields),
+                    DIAGNOSES.get(message.get("x-diagnosis"), 0),
+                    parse_load_report(message.get("x-occupancy"), self.fields),
                 ),
             )
 
     def _stands(self, leg: Leg, message: Message) -> None:
         """Each 2xx is acknowledged; only the first of a leg that is still wanted stands."""
-        dialog = Dialog.of_client(leg.invite, message)
+        dialog = Dialog.for_uac(leg.invite, message)
         target = self._target(leg, dialog)
-        ack = dialog.request("ACK", self.endpoint.via(target.transport), seq=leg.invite.cseq()[0])
+        ack = dialog.build_request("ACK", self.endpoint.via(target.transport), seq=leg.invite.cseq()[0])
         self.endpoint.transmit(ack, target)
         if leg.dialog is not None and leg.dialog.key == dialog.key:
             return  # the same answer again: our ACK was lost
@@ -201,10 +201,10 @@
 
     def _bye(self, leg: Leg, dialog: Dialog, cause: int) -> None:
         target, call = self._target(leg, dialog), dialog.call_id
-        bye = dialog.request("BYE", self.endpoint.via(target.transport), ("Reason", f"Q.850;cause={cause}"))
+        bye = dialog.build_request("BYE", self.endpoint.via(target.transport), ("Reason", f"Q.850;cause={cause}"))
         self.endpoint.request(bye, target, lambda answer: None, lambda how: log.event("no_bye", call=call, how=how))
 
-    def _request(self, message: Message, entry: Entry, flow: Flow) -> None:
+    def _request(self, message: Message, entry: TransactionEntry, flow: Flow) -> None:
         """Requests of desks: the release of a call above all."""
         to, sender = parameter(message.get("to"), "tag"), parameter(message.get("from"), "tag")
         leg = self.dialogs.get((message.get("call-id"), to, sender))
@@ -215,19 +215,19 @@
             return self.endpoint.respond(entry, response(message, 200, tag=secrets.token_hex(4)))
         if leg is None or leg.dialog is None:
             return self.endpoint.respond(entry, response(message, 481, tag=secrets.token_hex(4)))
-        if not leg.dialog.accepts(message):
+        if not leg.dialog.accept_cseq(message):
             return self.endpoint.respond(entry, response(message, 500))
         self.endpoint.respond(entry, response(message, 200))
         if message.method == "BYE":
             told = parameter(message.get("reason"), "cause")
-            cause = int(told) if digits(told) else NORMAL
+            cause = int(told) if is_decimal(told) else NORMAL
             self._drop(leg)
             leg.heard(
                 leg.attempt.leg,
                 Outcome(
                     Status.RESET if cause == CUT else Status.OK,
                     0,
-                    parse_report(message.get("x-occupancy"), self.fields),
+                    parse_load_report(message.get("x-occupancy"), self.fields),
                     cause,
                 ),
             )
--- a/seamlb/discovery/board.py
+++ b/seamlb/discovery/board.py
@@ -52,12 +52,12 @@
             self.rev, self.behind_until = 0, asyncio.get_running_loop().time() + LATE
             return
         for notice in notices:
-            if notice.rev > self.rev:
-                self.rev = notice.rev
-                if self.behind_until < math.inf and notice.revision < self.revision:
+            if notice.event_number > self.rev:
+                self.rev = notice.event_number
+                if self.behind_until < math.inf and notice.list_revision < self.revision:
                     self.skipped = True
                     continue
-                self.revision = max(self.revision, notice.revision)
+                self.revision = max(self.revision, notice.list_revision)
                 self._tell(notice)
         self.rev = max(self.rev, last)
 
@@ -87,7 +87,7 @@
             )
         first, self.told = not self.told, True
         self.changed(Scope.CACHED if first else Scope.FULL if notice.complete else Scope.DELTA, desks)
-        log.event("list", rev=notice.rev, complete=notice.complete, desks=len(desks))
+        log.event("list", rev=notice.event_number, complete=notice.complete, desks=len(desks))
 
     def set_address(self, address: str) -> None:
         """Follow the board at another address from now on; the numbers of the events continue."""
--- a/seamlb/discovery/poller.py
+++ b/seamlb/discovery/poller.py
@@ -7,7 +7,7 @@
 from seamlb.net.connection import Connection
 from seamlb.net.dial import ConnectError, connect
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.http import HttpError, Response, ResponseReader, get
+from seamlb.protocol.http import HttpError, Response, ResponseReader, get_request
 
 CONNECT_TIMEOUT = 1.0
 
@@ -36,7 +36,7 @@
             self.answers = asyncio.Queue()
             self.reading = asyncio.get_running_loop().create_task(self._read(self.connection, self.answers))
         connection = self.connection
-        connection.send(get(path, self.address))
+        connection.send(get_request(path, self.address))
         taking = asyncio.get_running_loop().create_task(self.answers.get())
         try:
             await asyncio.wait((taking, self.reading), timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
@@ -48,7 +48,7 @@
             answer = taking.result()
         finally:
             taking.cancel()
-        if not answer.keeps:
+        if not answer.keep_alive:
             connection.close(CloseReason.PEER_CLOSED)
         return answer
 
--- a/seamlb/fronts/figures.py
+++ b/seamlb/fronts/figures.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from seamlb.api import CallClass
-from seamlb.protocol.report import read_figures
-from seamlb.protocol.sip import digits
+from seamlb.protocol.report import parse_figures_strict
+from seamlb.protocol.sip import is_decimal
 
 MOST_CELLS = 1 << 16  # a pool's or exchange's number has 16 bits
 
@@ -31,7 +31,7 @@
     Guards the module and the desks against figures that are none, or that no call of its class has.
     """
     try:
-        told = read_figures(text)
+        told = parse_figures_strict(text)
     except ValueError as error:
         raise ManagementCallError(f"X-Legs: {error}") from None
     if usual is None and "dest" not in told:
@@ -52,7 +52,7 @@
 
 def patience(text: str, kind: CallClass, name: str) -> float:
     """Milliseconds that a caller waits: no longer than its class may."""
-    if not digits(text):
+    if not is_decimal(text):
         raise ManagementCallError(f"{name} is no number of milliseconds")
     if float(text) > kind.deadline:
         raise ManagementCallError(f"{name} is longer than the class may wait")
--- a/seamlb/fronts/management.py
+++ b/seamlb/fronts/management.py
@@ -13,7 +13,7 @@
 from seamlb.net.connection import Connection
 from seamlb.net.listener import Listener
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.http import HttpError, Request, RequestReader, answer
+from seamlb.protocol.http import HttpError, Request, RequestReader, encode_response
 
 MAX_CONNECTIONS = 32  # connections at a time; with more the one that has waited longest without a whole call goes
 CALL_WITHIN = 5.0  # seconds from accept for a whole call
@@ -65,7 +65,7 @@
         if call is None:
             return json_response(404, error="unknown path")
         if request.method != method:
-            return answer(405, b"", ("Allow", method))
+            return encode_response(405, b"", ("Allow", method))
         return call(request)
 
 
@@ -131,4 +131,4 @@
 
 def json_response(status: int, **facts: Any) -> bytes:
     """An answer with a JSON object."""
-    return answer(status, orjson.dumps(facts, option=orjson.OPT_APPEND_NEWLINE))
+    return encode_response(status, orjson.dumps(facts, option=orjson.OPT_APPEND_NEWLINE))
--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -16,7 +16,7 @@
 from seamlb.net.lag import Lag
 from seamlb.net.listener import Listener
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.sip import MAX_MESSAGE, Message, SipError, digits, parameter, response
+from seamlb.protocol.sip import MAX_MESSAGE_BYTES, Message, SipError, is_decimal, parameter, response
 from seamlb.routing.agent import Agent
 from seamlb.routing.model import Request
 
@@ -24,7 +24,7 @@
 NORMAL = 16
 IDENT = re.compile(r"[0-9A-Fa-f]{16}")  # PROTOCOL: a message names its call by 16 hex digits
 NUMBER = re.compile(r"[0-9A-Za-z+*#._-]{1,64}")  # what goes on to desks as it is
-MOST_BODY = MAX_MESSAGE - 1024  # the rest is for the headers that we write
+MOST_BODY = MAX_MESSAGE_BYTES - 1024  # the rest is for the headers that we write
 SPOILT = 1024  # ids used twice that are remembered
 
 
@@ -111,7 +111,7 @@
         connection.in_use = lambda: bool(client.open)
 
         def received(data: bytes) -> None:
-            whole = client.framer.take(
+            whole = client.framer.feed_and_dispatch(
                 data, lambda message: self._request(client, message), lambda error: self._malformed(client, error)
             )
             connection.messages_read(whole, bool(client.framer.data))
@@ -137,10 +137,10 @@
 
     def _malformed(self, client: Client, error: SipError) -> None:
         log.event("malformed", kind="client", peer=client.connection.peer, error=str(error))
-        request = error.answerable()
+        request = error.request_to_answer()
         if request:
             client.connection.send(response(request, error.status).encode())
-        if error.lost or not request:  # who can't be told anything else is told by the end
+        if error.fatal or not request:  # who can't be told anything else is told by the end
             client.connection.lingering_close(CloseReason.MALFORMED)
             self._gone(client)
 
@@ -167,7 +167,7 @@
                 if theirs:
                     client.open.pop(ident, None)
                     cause = parameter(message.get("reason"), "cause")
-                    self._left(theirs, int(cause) if digits(cause) else NORMAL)
+                    self._left(theirs, int(cause) if is_decimal(cause) else NORMAL)
             case "OPTIONS":
                 client.connection.send(response(message, 200 if self.lifecycle.ready else 503).encode())
             case _:
--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -14,11 +14,11 @@
 from seamlb.fronts.figures import ManagementCallError, figures, patience
 from seamlb.lifecycle import Lifecycle
 from seamlb.net.lag import Lag
-from seamlb.protocol.dialog import Dialog, Resender
-from seamlb.protocol.sip import Message, digits, parameter, response
+from seamlb.protocol.dialog import AnswerRetransmitter, Dialog
+from seamlb.protocol.sip import Message, is_decimal, parameter, response
 from seamlb.routing.agent import Agent, CallSession
 from seamlb.routing.model import Request
-from seamlb.sip.endpoint import Entry, Flow, SipEndpoint, Target, uri_target
+from seamlb.sip.endpoint import Flow, SipEndpoint, Target, TransactionEntry, uri_target
 from seamlb.sip.settings import SipFrontConfig
 
 ALLOWED = ("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS")
@@ -36,12 +36,12 @@
 
     front: SipFront
     invite: Message
-    entry: Entry
+    entry: TransactionEntry
     flow: Flow
     tag: str
     life: CallSession | None = None
     dialog: Dialog | None = None
-    resender: Resender | None = None
+    resender: AnswerRetransmitter | None = None
     timer: asyncio.TimerHandle | None = None
     answered: bool = False
     release: int | None = None  # cause of a release that waits for the ACK
@@ -59,14 +59,14 @@
         if self.answered:
             return False
         now = asyncio.get_running_loop().time()
-        extra = [("Record-Route", one) for one in self.invite.all("record-route")]
+        extra = [("Record-Route", one) for one in self.invite.get_all("record-route")]
         extra += [("Contact", self.front.endpoint.contact(self.flow.transport)), ALLOW]
         if description:
             extra.append(("Content-Type", self.invite.get("content-type", "application/sdp")))
         answer = response(self.invite, 200, *extra, body=description, tag=self.tag)
-        self.dialog = Dialog.of_server(self.invite, self.tag)
+        self.dialog = Dialog.for_uas(self.invite, self.tag)
         self.front.dialogs[self.dialog.key] = self
-        self.resender = Resender(answer, now)
+        self.resender = AnswerRetransmitter(answer, now)
         self.answered = True
         self.front.pending.pop(self.entry.key, None)
         self.front.endpoint.respond(self.entry, answer)
@@ -124,10 +124,10 @@
         with contextlib.suppress(ValueError):  # a name, or nothing usable: back to where the call came from
             target = uri_target(dialog.next_hop(), self.flow.transport)
         target = target if target.transport in endpoint.addresses else back
-        bye = dialog.request("BYE", endpoint.via(target.transport), ("Reason", f"Q.850;cause={cause}"))
+        bye = dialog.build_request("BYE", endpoint.via(target.transport), ("Reason", f"Q.850;cause={cause}"))
         if self.flow.connection and self.flow.connection.closed is False and target.transport == "TCP":
             # The caller's own connection still works: it may not be reachable any other way.
-            endpoint.adopt(target.address, self.flow.connection)
+            endpoint.use_connection(target.address, self.flow.connection)
         endpoint.request(bye, target, lambda answer: None, lambda how: log.event("no_bye", call=ident, how=how))
 
     def over(self) -> None:
@@ -175,7 +175,7 @@
 
     # -- requests -----------------------------------------------------------------------------
 
-    def _request(self, message: Message, entry: Entry, flow: Flow) -> None:
+    def _request(self, message: Message, entry: TransactionEntry, flow: Flow) -> None:
         refusal = self._check(message)
         if refusal:
             return self._respond(message, entry, *refusal)
@@ -198,20 +198,20 @@
         if scheme not in ("sip", "sips"):
             return (416,)
         hops = message.get("max-forwards", "70")
-        if not digits(hops):
+        if not is_decimal(hops):
             return (400,)
         if int(hops) == 0 and message.method == "INVITE":
             return (483,)
-        if message.method != "CANCEL" and (needed := message.all("require")):
+        if message.method != "CANCEL" and (needed := message.get_all("require")):
             return 420, ("Unsupported", ", ".join(needed))
         return None
 
-    def _respond(self, message: Message, entry: Entry, status: int, *extra: tuple[str, str]) -> None:
+    def _respond(self, message: Message, entry: TransactionEntry, status: int, *extra: tuple[str, str]) -> None:
         self.endpoint.respond(entry, response(message, status, *extra, tag=secrets.token_hex(4)))
 
-    def _cancel(self, message: Message, entry: Entry) -> None:
+    def _cancel(self, message: Message, entry: TransactionEntry) -> None:
         key = (*entry.key[:-1], "INVITE") if entry.key[0] != "2543" else ("",)
-        known = self.endpoint.servers.get(key)
+        known = self.endpoint.incoming.get(key)
         if known is None:
             return self._respond(message, entry, 481)
         call = self.pending.get(key)
@@ -220,13 +220,13 @@
             call.respond(487)
             self.left(call, NORMAL)
 
-    def _inside(self, message: Message, entry: Entry) -> None:
+    def _inside(self, message: Message, entry: TransactionEntry) -> None:
         """A request inside a dialog, or one that pretends to be."""
         to, sender = parameter(message.get("to"), "tag"), parameter(message.get("from"), "tag")
         call = self.dialogs.get((message.get("call-id"), to, sender))
         if call is None or call.dialog is None:
             return self._respond(message, entry, 481)
-        if not call.dialog.accepts(message):
+        if not call.dialog.accept_cseq(message):
             return self._respond(message, entry, 500)
         if message.method == "INVITE":
             return self._respond(message, entry, 488)  # the description of a call that stands is the desk's
@@ -234,7 +234,7 @@
         if message.method == "BYE":
             call.over()
             cause = parameter(message.get("reason"), "cause")
-            self.left(call, int(cause) if digits(cause) else NORMAL)
+            self.left(call, int(cause) if is_decimal(cause) else NORMAL)
 
     def _ack(self, message: Message) -> None:
         to, sender = parameter(message.get("to"), "tag"), parameter(message.get("from"), "tag")
@@ -255,14 +255,14 @@
 
     # -- a new call ---------------------------------------------------------------------------
 
-    def _invite(self, message: Message, entry: Entry, flow: Flow) -> None:
+    def _invite(self, message: Message, entry: TransactionEntry, flow: Flow) -> None:
         from_tag = parameter(message.get("from"), "tag")
         for other in self.pending.values():  # 8.2.2.2: the same call by another way
             same = other.invite.get("call-id") == message.get("call-id") and other.invite.cseq() == message.cseq()
             if same and parameter(other.invite.get("from"), "tag") == from_tag:
                 return self._respond(message, entry, 482)
         call = Call(self, message, entry, flow, secrets.token_hex(8))
-        entry.failed = lambda how: self._untold(call, how)
+        entry.on_failure = lambda how: self._untold(call, how)
         call.respond(100)
         try:
             request = self._read(message, call.tag, flow.transport)
--- a/seamlb/protocol/dialog.py
+++ b/seamlb/protocol/dialog.py
@@ -37,28 +37,28 @@
         return self.call_id, parameter(self.local, "tag"), parameter(self.remote, "tag")
 
     @classmethod
-    def of_server(cls, invite: Message, tag: str) -> Dialog:
+    def for_uas(cls, invite: Message, tag: str) -> Dialog:
         """The dialog that our answer to an INVITE makes (12.1.1)."""
-        contact = next(iter(invite.all("contact")), invite.get("from"))
+        contact = next(iter(invite.get_all("contact")), invite.get("from"))
         return cls(
             invite.get("call-id"),
             f"{invite.get('to')};tag={tag}",
             invite.get("from"),
             address_of(contact),
-            [address_of(one) for one in invite.all("record-route")],
+            [address_of(one) for one in invite.get_all("record-route")],
             0,
             invite.cseq()[0],
         )
 
     @classmethod
-    def of_client(cls, invite: Message, answer: Message) -> Dialog:
+    def for_uac(cls, invite: Message, answer: Message) -> Dialog:
         """The dialog that an answer to our INVITE makes (12.1.2)."""
-        contact = next(iter(answer.all("contact")), "")
-        routes = [address_of(one) for one in reversed(answer.all("record-route"))]
+        contact = next(iter(answer.get_all("contact")), "")
+        routes = [address_of(one) for one in reversed(answer.get_all("record-route"))]
         target = address_of(contact) or invite.uri
         return cls(invite.get("call-id"), invite.get("from"), answer.get("to"), target, routes, invite.cseq()[0])
 
-    def accepts(self, request: Message) -> bool:
+    def accept_cseq(self, request: Message) -> bool:
         """Is this request in order (12.2.2)? One out of order gets a 500."""
         number = request.cseq()[0]
         if number < self.remote_seq:
@@ -66,7 +66,7 @@
         self.remote_seq = number
         return True
 
-    def request(self, method: str, via: str, *extra: tuple[str, str], seq: int | None = None) -> Message:
+    def build_request(self, method: str, via: str, *extra: tuple[str, str], seq: int | None = None) -> Message:
         """A request inside the dialog (12.2.1.1); an ACK is given its INVITE's number."""
         if seq is None:
             self.local_seq += 1
@@ -83,7 +83,7 @@
         return self.routes[0] if self.routes else self.target
 
 
-class Resender:
+class AnswerRetransmitter:
     """Our 2xx, sent again until the ACK comes, on every transport; given up after 64 T1."""
 
     def __init__(self, answer: Message, now: float) -> None:
@@ -92,7 +92,7 @@
         self.end = now + 64 * T1
         self.due = now + T1
 
-    def acked(self) -> None:
+    def ack_received(self) -> None:
         """The ACK has come: send no more."""
         self.due = NEVER
 
--- a/seamlb/protocol/http.py
+++ b/seamlb/protocol/http.py
@@ -27,12 +27,12 @@
     body: bytes = b""
 
     @property
-    def keeps(self) -> bool:
+    def keep_alive(self) -> bool:
         """May the connection carry another request?"""
         return self.headers.get("connection", "").lower() != "close"
 
 
-def get(path: str, host: str, *extra: tuple[str, str]) -> bytes:
+def get_request(path: str, host: str, *extra: tuple[str, str]) -> bytes:
     """A GET request's bytes."""
     lines = [f"GET {path} HTTP/1.1", f"Host: {host}", *(f"{name}: {value}" for name, value in extra)]
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
@@ -55,7 +55,7 @@
         return path.partition("?")[0]
 
 
-def answer(status: int, body: bytes = b"", *extra: tuple[str, str], kind: str = "application/json") -> bytes:
+def encode_response(status: int, body: bytes = b"", *extra: tuple[str, str], kind: str = "application/json") -> bytes:
     """A response's bytes; the connection ends with it."""
     lines = [
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
--- a/seamlb/protocol/notices.py
+++ b/seamlb/protocol/notices.py
@@ -27,8 +27,8 @@
 class Notice:
     """One event: the whole list, or what has changed."""
 
-    rev: int
-    revision: int  # of the list itself, whoever tells it; 0: not told
+    event_number: int
+    list_revision: int  # of the list itself, whoever tells it; 0: not told
     complete: bool
     members: tuple[Member, ...]
 
--- a/seamlb/protocol/report.py
+++ b/seamlb/protocol/report.py
@@ -5,10 +5,10 @@
 from collections.abc import Sequence
 from math import inf, isfinite
 
-NOTES = {"atb": 1, "rtb": 2, "acc": 3, "sub": 4}  # X-Diagnosis
+DIAGNOSES = {"atb": 1, "rtb": 2, "acc": 3, "sub": 4}  # X-Diagnosis
 
 
-def parse_report(text: str, fields: Sequence[str]) -> tuple[float, ...]:
+def parse_load_report(text: str, fields: Sequence[str]) -> tuple[float, ...]:
     """`idle:12;circuits:40` in the order of `fields`, -1 for what is not told; () if nothing is."""
     told = parse_figures(text)
     if not told.keys() & set(fields):
@@ -16,7 +16,7 @@
     return tuple(told.get(name, -1.0) for name in fields)
 
 
-def read_figures(text: str) -> dict[str, float]:
+def parse_figures_strict(text: str) -> dict[str, float]:
     """As `parse_figures`, but ValueError for whatever is no finite figure; empty text holds none."""
     found = {}
     for part in text.split(";") if text else ():
--- a/seamlb/protocol/sip.py
+++ b/seamlb/protocol/sip.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-MAX_MESSAGE = 16 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024
 STARTS = (b"SIP/2.0 ", b"BYE sip:", b"NOTIFY sip:", b"OPTIONS sip:")  # what a desk's messages begin with
 METHODS = (  # RFC 3261 and its extensions
     b"ACK",
@@ -61,13 +61,13 @@
 class SipError(Exception):
     """Bytes that are no SIP message; `message` holds what could be read, `status` what to answer."""
 
-    def __init__(self, reason: str, message: Message | None = None, status: int = 400, lost: bool = True) -> None:
+    def __init__(self, reason: str, message: Message | None = None, status: int = 400, fatal: bool = True) -> None:
         super().__init__(reason)
         self.message = message
         self.status = status
-        self.lost = lost  # the end of the message is unknown: nothing after it can be read
+        self.fatal = fatal  # the end of the message is unknown: nothing after it can be read
 
-    def answerable(self) -> Message | None:
+    def request_to_answer(self) -> Message | None:
         """The request to answer, if it holds what an answer must copy."""
         message = self.message
         if message is None or message.method in ("", "ACK"):
@@ -90,14 +90,14 @@
         """The first header of that name, given in lower case."""
         return next((value for key, value in self.headers if key.lower() == name), default)
 
-    def all(self, name: str) -> list[str]:
+    def get_all(self, name: str) -> list[str]:
         """All headers of that name, lists at commas taken apart."""
         return [part for key, value in self.headers if key.lower() == name for part in split_list(value)]
 
     def cseq(self) -> tuple[int, str]:
         """Number and method of CSeq; (-1, "") if it can't be read."""
         number, _, method = self.get("cseq").partition(" ")
-        return (int(number), method.strip()) if digits(number) and int(number) < 2**31 else (-1, "")
+        return (int(number), method.strip()) if is_decimal(number) and int(number) < 2**31 else (-1, "")
 
     def encode(self) -> bytes:
         """The bytes for the wire; Content-Length is written here and only here."""
@@ -107,7 +107,7 @@
         return "\r\n".join(lines).encode("utf-8", "surrogateescape") + self.body
 
 
-def digits(text: str) -> bool:
+def is_decimal(text: str) -> bool:
     """Plain ASCII digits, as int() also takes signs, blanks, underscores and other scripts."""
     return text.isascii() and text.isdigit() and len(text) <= 10
 
@@ -156,7 +156,7 @@
     message = Message()
     if first.startswith("SIP/2.0 "):
         code, _, message.reason = first[8:].partition(" ")
-        if not (digits(code) and 100 <= int(code) < 700):
+        if not (is_decimal(code) and 100 <= int(code) < 700):
             raise SipError("bad status line")
         message.status = int(code)
     else:
@@ -173,12 +173,12 @@
             continue
         message.headers.append((COMPACT.get(name.lower(), name), value.strip()))
     if message.method and not first.endswith(" SIP/2.0"):
-        raise SipError("unknown version", message, 505, lost=False)
+        raise SipError("unknown version", message, 505, fatal=False)
     if bad:
-        raise SipError(bad, message, lost=False)
+        raise SipError(bad, message, fatal=False)
     number, method = message.cseq()
     if not message.get("call-id") or number < 0 or (message.method and method != message.method):
-        raise SipError("Call-ID or CSeq missing or wrong", message, lost=False)
+        raise SipError("Call-ID or CSeq missing or wrong", message, fatal=False)
     return message
 
 
@@ -188,7 +188,7 @@
     if not told:
         return None
     text = told.pop()
-    if told or not digits(text):
+    if told or not is_decimal(text):
         raise SipError("bad Content-Length", message)
     return int(text)
 
@@ -211,7 +211,7 @@
     return inside or body.endswith(TAILS) or not begins(rest)
 
 
-def releases(data: bytes) -> list[Message]:
+def find_byes(data: bytes) -> list[Message]:
     """The releases in bytes whose framing is lost, also cut off behind their call's name: each names it itself."""
     found = []
     for one in RELEASE.finditer(data):
@@ -224,33 +224,33 @@
 
 
 class Framer:
-    """Cuts a stream into messages; SipError with `lost` set ends it, and what it could not read stays in `left`.
+    """Cuts a stream into messages; SipError with `fatal` set ends it, and the unread bytes are in `unparsed`.
 
-    `whole` has bodies looked at for messages that were swallowed by one that stopped short.
+    `check_bodies` has bodies looked at for messages that were swallowed by one that stopped short.
     """
 
-    def __init__(self, limit: int = MAX_MESSAGE, whole: bool = False) -> None:
+    def __init__(self, limit: int = MAX_MESSAGE_BYTES, check_bodies: bool = False) -> None:
         self.limit = limit
-        self.whole = whole
+        self.check_bodies = check_bodies
         self.data = bytearray()
-        self.left = b""
+        self.unparsed = b""
 
     def feed(self, data: bytes) -> None:
         """Take bytes of the stream."""
         self.data += data
 
-    def take(self, data: bytes, good: Callable[[Message], None], bad: Callable[[SipError], None]) -> int:
+    def feed_and_dispatch(self, data: bytes, good: Callable[[Message], None], bad: Callable[[SipError], None]) -> int:
         """Feed bytes and hand over what is whole, up to an error that ends the stream; how many there were."""
         self.feed(data)
         count = 0
         for one in self.messages():
             count += 1
             if isinstance(one, SipError):
-                if one.lost:
-                    self.left = bytes(self.data)
+                if one.fatal:
+                    self.unparsed = bytes(self.data)
                     self.data.clear()
                 bad(one)
-                if one.lost:
+                if one.fatal:
                     break
             else:
                 good(one)
@@ -290,7 +290,7 @@
             if len(self.data) < size:
                 return
             message.body = bytes(self.data[end + 4 : size])
-            if self.whole and message.body and torn(message.body, bytes(self.data[size : size + 16])):
+            if self.check_bodies and message.body and torn(message.body, bytes(self.data[size : size + 16])):
                 del self.data[: end + 4]
                 yield SipError("a message begins inside another", message)
                 return
@@ -301,7 +301,7 @@
 
 def parse_datagram(data: bytes) -> Message:
     """One message in one datagram; the body ends with Content-Length, or with the datagram."""
-    if len(data) > MAX_MESSAGE:
+    if len(data) > MAX_MESSAGE_BYTES:
         raise SipError("message too large", None, 513)
     head, blank, body = data.lstrip(b"\r\n").partition(b"\r\n\r\n")
     if not blank:
@@ -309,7 +309,7 @@
     message = parse_head(head)
     length = content_length(message)
     if length is not None and length > len(body):
-        raise SipError("body cut short", message, lost=False)
+        raise SipError("body cut short", message, fatal=False)
     message.body = body if length is None else body[:length]
     message.headers = [pair for pair in message.headers if pair[0].lower() != "content-length"]
     return message
--- a/seamlb/protocol/transaction.py
+++ b/seamlb/protocol/transaction.py
@@ -12,7 +12,7 @@
 from seamlb.protocol.sip import Message, parameter
 
 T1, T2, T4 = 0.5, 4.0, 5.0
-MAGIC = "z9hG4bK"
+MAGIC_COOKIE = "z9hG4bK"
 NEVER = float("inf")
 
 
@@ -54,10 +54,10 @@
 
 def server_key(request: Message) -> Key:
     """What tells requests of one transaction (17.2.3); an ACK has the key of its INVITE."""
-    via = (request.all("via") or [""])[0]
+    via = (request.get_all("via") or [""])[0]
     method = "INVITE" if request.method == "ACK" else request.method
     branch = parameter(via, "branch")
-    if branch.startswith(MAGIC):
+    if branch.startswith(MAGIC_COOKIE):
         return branch.lower(), sent_by(via).lower(), method
     # A caller of RFC 2543: the branch tells nothing.
     from_tag = parameter(request.get("from"), "tag")
@@ -66,7 +66,7 @@
 
 def client_key(message: Message) -> Key:
     """What tells a response's transaction (17.1.3)."""
-    via = (message.all("via") or [""])[0]
+    via = (message.get_all("via") or [""])[0]
     return parameter(via, "branch").lower(), message.cseq()[1]
 
 
@@ -85,7 +85,7 @@
         self.timers: dict[str, float] = {}
 
     @property
-    def over(self) -> bool:
+    def terminated(self) -> bool:
         """Has it ended?"""
         return self.state is State.TERMINATED
 
@@ -99,16 +99,16 @@
         effects: Effects = []
         for name in sorted(name for name, at in self.timers.items() if at <= now):
             if self.timers.pop(name, None) is not None:
-                effects += self.fired(name, now)
+                effects += self.timer_fired(name, now)
         return effects
 
-    def fired(self, name: str, now: float) -> Effects:
+    def timer_fired(self, name: str, now: float) -> Effects:
         """A timer has ended."""
         raise NotImplementedError
 
-    def broken(self) -> Effects:
+    def fail(self) -> Effects:
         """The transport could not send (17.1.4, 17.2.4)."""
-        if self.over:
+        if self.terminated:
             return []
         self._end()
         return [Failed(timeout=False)]
@@ -125,7 +125,7 @@
             self.timers = {name: now + span}
 
 
-class ClientInvite(Transaction):
+class InviteClient(Transaction):
     """17.1.1: timers A, B and D; RFC 6026: M."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
@@ -140,14 +140,14 @@
             self.timers["A"] = now + self.wait
         return [Send(self.request)]
 
-    def cancelled(self, now: float) -> None:
+    def cancel_sent(self, now: float) -> None:
         """A CANCEL went out: without a final answer this ends by itself (9.1)."""
         if self.state in (State.TRYING, State.PROCEEDING):
             self.timers["B"] = now + 64 * T1
 
     def receive(self, message: Message, now: float) -> Effects:
         """Take a response."""
-        if self.over:
+        if self.terminated:
             return []
         if message.status < 200:
             if self.state is State.TRYING:
@@ -167,7 +167,7 @@
             return [Send(self.ack), Deliver(message)]
         return [Send(self.ack)] if self.state is State.COMPLETED and self.ack else []
 
-    def fired(self, name: str, now: float) -> Effects:
+    def timer_fired(self, name: str, now: float) -> Effects:
         """Timer A repeats the request; all others end the transaction."""
         if name == "A":
             self.wait *= 2
@@ -178,14 +178,14 @@
 
     def _ack(self, answer: Message) -> Message:
         """17.1.1.3: the ACK of a refusal is part of the transaction."""
-        headers = [("Via", self.request.all("via")[0])]
+        headers = [("Via", self.request.get_all("via")[0])]
         copied = ("route", "max-forwards", "from", "call-id")
         headers += [(name, value) for name, value in self.request.headers if name.lower() in copied]
         headers += [("To", answer.get("to")), ("CSeq", f"{self.request.cseq()[0]} ACK")]
         return Message("ACK", self.request.uri, headers=headers)
 
 
-class ClientOther(Transaction):
+class NonInviteClient(Transaction):
     """17.1.2: timers E, F and K."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
@@ -210,7 +210,7 @@
             self._linger("K", now, 0.0 if self.reliable else T4)
         return [Deliver(message)]
 
-    def fired(self, name: str, now: float) -> Effects:
+    def timer_fired(self, name: str, now: float) -> Effects:
         """Timer E repeats the request; all others end the transaction."""
         if name == "E":
             self.wait = T2 if self.state is State.PROCEEDING else min(2 * self.wait, T2)
@@ -220,7 +220,7 @@
         return [Failed(timeout=True)] if name == "F" else []
 
 
-class ServerInvite(Transaction):
+class InviteServer(Transaction):
     """17.2.1: timers G, H and I; RFC 6026: L."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
@@ -255,7 +255,7 @@
             return [Send(self.last)]
         return []
 
-    def fired(self, name: str, now: float) -> Effects:
+    def timer_fired(self, name: str, now: float) -> Effects:
         """Timer G repeats the response; all others end the transaction."""
         if name == "G" and self.last:
             self.wait = min(2 * self.wait, T2)
@@ -265,7 +265,7 @@
         return [Failed(timeout=True)] if name == "H" else []
 
 
-class ServerOther(Transaction):
+class NonInviteServer(Transaction):
     """17.2.2: timer J."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
@@ -288,7 +288,7 @@
         """Take a repeated request: the last response is sent again."""
         return [Send(self.last)] if self.last else []
 
-    def fired(self, name: str, now: float) -> Effects:
+    def timer_fired(self, name: str, now: float) -> Effects:
         """Timer J ends the transaction."""
         self._end()
         return []
--- a/seamlb/sip/endpoint.py
+++ b/seamlb/sip/endpoint.py
@@ -16,18 +16,18 @@
 from seamlb.net.dial import ConnectError, connect
 from seamlb.net.listener import Listener
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.sip import Framer, Message, SipError, digits, parameter, parse_datagram, response
+from seamlb.protocol.sip import Framer, Message, SipError, is_decimal, parameter, parse_datagram, response
 from seamlb.protocol.transaction import (
-    MAGIC,
-    ClientInvite,
-    ClientOther,
+    MAGIC_COOKIE,
     Deliver,
     Effects,
     Failed,
+    InviteClient,
+    InviteServer,
     Key,
+    NonInviteClient,
+    NonInviteServer,
     Send,
-    ServerInvite,
-    ServerOther,
     client_key,
     sent_by,
     server_key,
@@ -62,19 +62,19 @@
     address: Address
 
 
-Server = ServerInvite | ServerOther
-Client = ClientInvite | ClientOther
+Server = InviteServer | NonInviteServer
+Client = InviteClient | NonInviteClient
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class TransactionEntry:
     """A transaction, its way to the wire, and its timer."""
 
     key: Key
     machine: Server | Client
     send: Callable[[Message], None]
     deliver: Callable[[Message], None]
-    failed: Callable[[str], None]
+    on_failure: Callable[[str], None]
     timer: asyncio.TimerHandle | None = None
     connection: Connection | None = None
 
@@ -106,10 +106,10 @@
     def __init__(self, kind: str, limit: int = 256) -> None:
         self.kind = kind
         self.limit = limit
-        self.on_request: Callable[[Message, Entry, Flow], None] | None = None
+        self.on_request: Callable[[Message, TransactionEntry, Flow], None] | None = None
         self.on_ack: Callable[[Message], None] | None = None
-        self.servers: dict[Key, Entry] = {}
-        self.clients: dict[Key, Entry] = {}
+        self.incoming: dict[Key, TransactionEntry] = {}
+        self.outgoing: dict[Key, TransactionEntry] = {}
         self.routes: dict[Address, Route] = {}
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -138,7 +138,7 @@
         """Close all sockets."""
         self.closing = True
         self.stop_listening()
-        for entry in (*self.servers.values(), *self.clients.values()):
+        for entry in (*self.incoming.values(), *self.outgoing.values()):
             if entry.timer:
                 entry.timer.cancel()
         for connection in list(self.connections):
@@ -150,7 +150,7 @@
 
     def via(self, transport: str) -> str:
         """A Via with a new branch for a request of ours."""
-        return f"SIP/2.0/{transport} {self.addresses[transport]};branch={MAGIC}{secrets.token_hex(8)};rport"
+        return f"SIP/2.0/{transport} {self.addresses[transport]};branch={MAGIC_COOKIE}{secrets.token_hex(8)};rport"
 
     def contact(self, transport: str) -> str:
         """Our address for a Contact header."""
@@ -165,14 +165,14 @@
         deliver: Callable[[Message], None],
         failed: Callable[[str], None],
         out: Callable[[], None] = lambda: None,
-    ) -> Entry:
+    ) -> TransactionEntry:
         """Start a client transaction; `failed` is told `timeout`, `connect` or `lost`, `out` that it has left."""
         reliable = target.transport == "TCP"
-        machine = (ClientInvite if message.method == "INVITE" else ClientOther)(message, reliable)
-        entry = Entry(client_key(message), machine, lambda one: None, deliver, failed)
+        machine = (InviteClient if message.method == "INVITE" else NonInviteClient)(message, reliable)
+        entry = TransactionEntry(client_key(message), machine, lambda one: None, deliver, failed)
 
         def broken(how: str) -> None:
-            if machine.broken():
+            if machine.fail():
                 self._settle(entry)
                 failed(how)
 
@@ -182,21 +182,21 @@
             entry.connection = connection
 
         entry.send = lambda one: self.transmit(one, target, broken, carried)
-        self.clients[entry.key] = entry
+        self.outgoing[entry.key] = entry
         self._carry(entry, machine.start(self._now()))
         if not reliable:
             out()
         return entry
 
-    def respond(self, entry: Entry, message: Message) -> None:
+    def respond(self, entry: TransactionEntry, message: Message) -> None:
         """Answer a request by its transaction."""
-        if isinstance(entry.machine, (ServerInvite, ServerOther)):
+        if isinstance(entry.machine, (InviteServer, NonInviteServer)):
             self._carry(entry, entry.machine.respond(message, self._now()))
 
-    def cancelled(self, entry: Entry) -> None:
+    def cancel_sent(self, entry: TransactionEntry) -> None:
         """A CANCEL went out for this INVITE of ours."""
-        if isinstance(entry.machine, ClientInvite):
-            entry.machine.cancelled(self._now())
+        if isinstance(entry.machine, InviteClient):
+            entry.machine.cancel_sent(self._now())
             self._settle(entry)
 
     def transmit(
@@ -221,14 +221,14 @@
         if len(route.waiting) == 1:
             self._spawn(self._connect(target.address, route))
 
-    def adopt(self, address: Address, connection: Connection) -> None:
+    def use_connection(self, address: Address, connection: Connection) -> None:
         """Send what goes to an address by a connection that came from there."""
         self.routes.setdefault(address, Route()).connection = connection
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _carry(self, entry: Entry, effects: Effects) -> None:
+    def _carry(self, entry: TransactionEntry, effects: Effects) -> None:
         for effect in effects:
             match effect:
                 case Send(message):
@@ -236,23 +236,23 @@
                 case Deliver(message):
                     entry.deliver(message)
                 case Failed(timeout):
-                    entry.failed("timeout" if timeout else "lost")
+                    entry.on_failure("timeout" if timeout else "lost")
         self._settle(entry)
 
-    def _settle(self, entry: Entry) -> None:
+    def _settle(self, entry: TransactionEntry) -> None:
         """Set the timer to what the machine wants next, or drop the transaction."""
         if entry.timer:
             entry.timer.cancel()
             entry.timer = None
-        table = self.servers if isinstance(entry.machine, (ServerInvite, ServerOther)) else self.clients
-        if entry.machine.over:
+        table = self.incoming if isinstance(entry.machine, (InviteServer, NonInviteServer)) else self.outgoing
+        if entry.machine.terminated:
             if table.get(entry.key) is entry:
                 del table[entry.key]
         elif entry.machine.timers and not self.closing:
             loop = asyncio.get_running_loop()
             entry.timer = loop.call_at(entry.machine.due, self._fire, entry)
 
-    def _fire(self, entry: Entry) -> None:
+    def _fire(self, entry: TransactionEntry) -> None:
         entry.timer = None
         self._carry(entry, entry.machine.poll(self._now() + 0.001))
 
@@ -269,7 +269,7 @@
 
     def _malformed(self, error: SipError, flow: Flow) -> None:
         log.event("malformed", kind=self.kind, peer="{}:{}".format(*flow.source), error=str(error))
-        if request := error.answerable():
+        if request := error.request_to_answer():
             mark_source(request, flow.source)
             self._answer(response(request, error.status, tag=secrets.token_hex(4)), request, flow)
 
@@ -279,16 +279,16 @@
         self.connections.add(connection)
         connection.in_use = lambda: any(
             entry.connection is connection and entry.machine.state.name in ("TRYING", "PROCEEDING")
-            for entry in (*self.servers.values(), *self.clients.values())
+            for entry in (*self.incoming.values(), *self.outgoing.values())
         )
 
         def malformed(error: SipError) -> None:
             self._malformed(error, flow)
-            if error.lost:
+            if error.fatal:
                 connection.lingering_close(CloseReason.MALFORMED)
 
         def received(data: bytes) -> None:
-            whole = framer.take(data, lambda message: self._message(message, flow), malformed)
+            whole = framer.feed_and_dispatch(data, lambda message: self._message(message, flow), malformed)
             connection.messages_read(whole, bool(framer.data))
             if whole and self.tcp:
                 self.tcp.mark_used(connection)
@@ -304,32 +304,32 @@
 
     def _lost(self, connection: Connection) -> None:
         """Requests of ours that wait for an answer on this connection get none (18.4)."""
-        for entry in list(self.clients.values()):
+        for entry in list(self.outgoing.values()):
             if entry.connection is connection:
-                effects = entry.machine.broken() if entry.machine.state.name in ("TRYING", "PROCEEDING") else []
+                effects = entry.machine.fail() if entry.machine.state.name in ("TRYING", "PROCEEDING") else []
                 self._carry(entry, effects)
 
     def _message(self, message: Message, flow: Flow) -> None:
         if message.status:
-            entry = self.clients.get(client_key(message))
-            if entry and isinstance(entry.machine, (ClientInvite, ClientOther)):
+            entry = self.outgoing.get(client_key(message))
+            if entry and isinstance(entry.machine, (InviteClient, NonInviteClient)):
                 self._carry(entry, entry.machine.receive(message, self._now()))
             return
         if not all(message.get(name) for name in ("via", "from", "to")):
             return self._malformed(SipError("Via, From or To missing", message), flow)
         key = server_key(message)
-        entry = self.servers.get(key)
-        if entry and isinstance(entry.machine, (ServerInvite, ServerOther)):
+        entry = self.incoming.get(key)
+        if entry and isinstance(entry.machine, (InviteServer, NonInviteServer)):
             return self._carry(entry, entry.machine.receive(message, self._now()))
         if message.method == "ACK":
             if self.on_ack:
                 self.on_ack(message)
             return
         mark_source(message, flow.source)
-        if len(self.servers) >= MAX_TRANSACTIONS or self.on_request is None:
+        if len(self.incoming) >= MAX_TRANSACTIONS or self.on_request is None:
             return self._answer(response(message, 503, tag=secrets.token_hex(4)), message, flow)
-        machine = (ServerInvite if message.method == "INVITE" else ServerOther)(message, flow.reliable)
-        entry = Entry(
+        machine = (InviteServer if message.method == "INVITE" else NonInviteServer)(message, flow.reliable)
+        entry = TransactionEntry(
             key,
             machine,
             lambda one: self._answer(one, message, flow, broken),
@@ -338,12 +338,12 @@
         )
 
         def broken(how: str) -> None:
-            if machine.broken():
+            if machine.fail():
                 self._settle(entry)
-                entry.failed(how)
+                entry.on_failure(how)
 
         entry.connection = flow.connection
-        self.servers[key] = entry
+        self.incoming[key] = entry
         self.on_request(message, entry, flow)
 
     def _answer(
@@ -352,11 +352,11 @@
         """Send a response where 18.2.2 has it go."""
         if flow.connection and flow.connection.send(answer.encode()):
             return
-        via = request.all("via")[0]
+        via = request.get_all("via")[0]
         _, colon, port = sent_by(via).rpartition(":")
-        place = int(port) if colon and digits(port) else 5060
+        place = int(port) if colon and is_decimal(port) else 5060
         rport = parameter(via, "rport")
-        if flow.transport == "UDP" and digits(rport):
+        if flow.transport == "UDP" and is_decimal(rport):
             place = int(rport)
         # The connection is gone: the answer goes by a new one to where the caller listens.
         self.transmit(answer, Target(flow.transport, (flow.source[0], min(place, 65535))), broken)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 from seamlb.desks import keeper
 from seamlb.net.connection import Connection
 from seamlb.net.dial import connect
-from seamlb.protocol.sip import MAX_MESSAGE, Message
+from seamlb.protocol.sip import MAX_MESSAGE_BYTES, Message
 from seamlb.routing.life import AttemptUpdate, CallSession
 from seamlb.routing.model import Answer, Outcome
 from tests.loopback import (
@@ -142,7 +142,7 @@
 
     async def test_an_answer_that_is_too_long_ends_the_attempt_and_another_server_takes_the_call(self) -> None:
         async def long(peer: Peer, message: Message) -> None:
-            peer.send(reply(message, 200, body=b"x" * MAX_MESSAGE))
+            peer.send(reply(message, 200, body=b"x" * MAX_MESSAGE_BYTES))
 
         first, second = ScriptedDesk(long), ScriptedDesk()
         await self.start(first, second)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from seamlb.protocol.report import parse_figures, parse_report
-from seamlb.protocol.sip import Framer, Message, SipError, parse_datagram, releases, split_list
+from seamlb.protocol.report import parse_figures, parse_load_report
+from seamlb.protocol.sip import Framer, Message, SipError, find_byes, parse_datagram, split_list
 
 GOOD = (
     b"INVITE sip:7@net SIP/2.0\r\nv: SIP/2.0/TCP a;branch=z9hG4bK1,\r\n SIP/2.0/TCP b\r\ni: 1\r\n"
@@ -30,7 +30,7 @@
             told += read(framer, GOOD[place : place + 1])
         told += read(framer, b"\r\n\r\n" + GOOD + GOOD)
         self.assertEqual([one.body for one in told if isinstance(one, Message)], [b"ab\r\n"] * 3)
-        self.assertEqual(len(told[0].all("via")), 2)
+        self.assertEqual(len(told[0].get_all("via")), 2)
         self.assertEqual(told[0].get("call-id"), "1")
 
     def test_what_is_written_is_read_back(self) -> None:
@@ -43,7 +43,7 @@
 
     def test_two_lengths_that_differ_end_the_stream(self) -> None:
         (error,) = read(Framer(), GOOD.replace(b"l: 4", b"l: 4\r\nContent-Length: 5"))
-        self.assertTrue(isinstance(error, SipError) and error.lost and error.answerable())
+        self.assertTrue(isinstance(error, SipError) and error.fatal and error.request_to_answer())
 
     def test_a_body_that_stopped_short_is_not_filled_up_with_what_follows(self) -> None:
         body = b"9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n"
@@ -57,20 +57,20 @@
         )
         for next_one in others:
             for missing in range(1, len(body)):
-                framer, told = Framer(whole=True), list[Message | SipError]()
+                framer, told = Framer(check_bodies=True), list[Message | SipError]()
                 told = read(framer, good[:-missing] + next_one + next_one)
                 self.assertFalse(told and isinstance(told[0], Message), (missing, next_one))
             for cut in range(1, len(next_one)):  # what is whole passes, wherever it is cut
-                framer = Framer(whole=True)
+                framer = Framer(check_bodies=True)
                 told = read(framer, good + next_one[:cut]) + read(framer, next_one[cut:])
                 self.assertTrue(all(isinstance(one, Message) for one in told) and len(told) == 2, (cut, next_one))
 
     def test_releases_are_found_where_the_framing_is_lost(self) -> None:
         bye = Message("BYE", "sip:call@net", headers=[("Call-ID", "7"), ("CSeq", "1 BYE")]).encode()
         cut = b"v=0\r\nhalf a lin" + bye + b"SIP/2.0 200 OK\r\n\r\n" + bye[:20] + bye + bye[:-30]
-        self.assertEqual([one.get("call-id") for one in releases(cut)], ["7", "7", "7"])
+        self.assertEqual([one.get("call-id") for one in find_byes(cut)], ["7", "7", "7"])
         for data in (b"BYE sip:x@net SIP/2.0\r\nno colon\r\n\r\n", b"BYE sip:x@net SIP/2.0\r\nCall-ID: 12"):
-            self.assertEqual(releases(data), [])
+            self.assertEqual(find_byes(data), [])
 
     @settings(derandomize=True, deadline=None, max_examples=400)
     @given(BYTES)
@@ -80,15 +80,15 @@
         try:
             parse_datagram(data)
         except SipError as error:
-            error.answerable()
+            error.request_to_answer()
 
     @settings(derandomize=True, deadline=None)
     @given(st.text(max_size=60))
     def test_reports_of_any_text(self, text: str) -> None:
-        self.assertIn(len(parse_report(text, ("a", "b"))), (0, 2))
+        self.assertIn(len(parse_load_report(text, ("a", "b"))), (0, 2))
         parse_figures(text)
 
     def test_reports(self) -> None:
-        told = parse_report("idle:3;x;avg_ms:nan;circuits:4.5", ("idle", "circuits", "avg_ms"))
+        told = parse_load_report("idle:3;x;avg_ms:nan;circuits:4.5", ("idle", "circuits", "avg_ms"))
         self.assertEqual(told, (3.0, 4.5, -1.0))
-        self.assertEqual(parse_report("", ("idle",)), ())
+        self.assertEqual(parse_load_report("", ("idle",)), ())
--- a/tests/test_transaction.py
+++ b/tests/test_transaction.py
@@ -2,17 +2,17 @@
 
 import unittest
 
-from seamlb.protocol.dialog import Dialog, Resender
+from seamlb.protocol.dialog import AnswerRetransmitter, Dialog
 from seamlb.protocol.sip import Message, response
 from seamlb.protocol.transaction import (
     NEVER,
-    ClientInvite,
-    ClientOther,
     Deliver,
     Failed,
+    InviteClient,
+    InviteServer,
+    NonInviteClient,
+    NonInviteServer,
     Send,
-    ServerInvite,
-    ServerOther,
     State,
     client_key,
     server_key,
@@ -47,26 +47,26 @@
 
 class Clients(unittest.TestCase):
     def test_timers_a_and_b(self) -> None:
-        machine = ClientInvite(request(), reliable=False)
+        machine = InviteClient(request(), reliable=False)
         machine.start(0.0)
         sent = run(machine, 100.0)
         self.assertEqual([at for at, what in sent if what == "INVITE"], [0.5, 1.5, 3.5, 7.5, 15.5, 31.5])
         self.assertEqual(sent[-1], (32.0, "failed"))
-        self.assertTrue(machine.over)
+        self.assertTrue(machine.terminated)
 
     def test_nothing_is_resent_on_tcp_nor_after_a_provisional(self) -> None:
-        tcp = ClientInvite(request(), reliable=True)
+        tcp = InviteClient(request(), reliable=True)
         tcp.start(0.0)
         self.assertEqual(run(tcp, 100.0), [(32.0, "failed")])
-        udp = ClientInvite(request(), reliable=False)
+        udp = InviteClient(request(), reliable=False)
         udp.start(0.0)
         udp.receive(response(request(), 180), 0.1)
         self.assertEqual(udp.due, NEVER)
-        udp.cancelled(1.0)  # a desk that never answers the INVITE after our CANCEL
+        udp.cancel_sent(1.0)  # a desk that never answers the INVITE after our CANCEL
         self.assertEqual(run(udp, 100.0), [(33.0, "failed")])
 
     def test_a_refusal_is_acked_inside_the_transaction_and_told_once(self) -> None:
-        machine = ClientInvite(request(), reliable=False)
+        machine = InviteClient(request(), reliable=False)
         machine.start(0.0)
         busy = response(request(), 486, tag="b")
         ack, told = machine.receive(busy, 0.1)
@@ -77,23 +77,23 @@
         self.assertEqual(run(machine, 32.0), [])
         self.assertEqual(machine.state, State.COMPLETED)
         run(machine, 32.1)  # timer D
-        self.assertTrue(machine.over)
+        self.assertTrue(machine.terminated)
 
     def test_each_copy_of_an_answer_goes_up_until_timer_m(self) -> None:
-        machine = ClientInvite(request(), reliable=False)
+        machine = InviteClient(request(), reliable=False)
         machine.start(0.0)
         for at in (0.1, 0.6, 1.6):
             self.assertEqual([type(one) for one in machine.receive(response(request(), 200), at)], [Deliver])
         run(machine, 32.1)
-        self.assertTrue(machine.over)
+        self.assertTrue(machine.terminated)
 
     def test_timers_e_f_and_k(self) -> None:
-        machine = ClientOther(request("BYE"), reliable=False)
+        machine = NonInviteClient(request("BYE"), reliable=False)
         machine.start(0.0)
         sent = run(machine, 100.0)
         self.assertEqual([at for at, _ in sent[:5]], [0.5, 1.5, 3.5, 7.5, 11.5])
         self.assertEqual(sent[-1], (32.0, "failed"))
-        machine = ClientOther(request("BYE"), reliable=False)
+        machine = NonInviteClient(request("BYE"), reliable=False)
         machine.start(0.0)
         machine.receive(response(request("BYE"), 200), 1.0)
         self.assertEqual(machine.receive(response(request("BYE"), 200), 1.5), [])
@@ -102,18 +102,18 @@
 
 class Servers(unittest.TestCase):
     def test_timers_g_h_and_i(self) -> None:
-        machine = ServerInvite(request(), reliable=False)
+        machine = InviteServer(request(), reliable=False)
         machine.respond(response(request(), 503), 0.0)
         sent = run(machine, 100.0)
         self.assertEqual([at for at, _ in sent[:5]], [0.5, 1.5, 3.5, 7.5, 11.5])
         self.assertEqual(sent[-1], (32.0, "failed"))
-        machine = ServerInvite(request(), reliable=False)
+        machine = InviteServer(request(), reliable=False)
         machine.respond(response(request(), 503), 0.0)
         self.assertEqual(machine.receive(request("ACK"), 0.2), [])
         self.assertEqual((machine.state, machine.due), (State.CONFIRMED, 5.2))
 
     def test_a_repeated_invite_gets_the_last_answer_and_no_second_final_one(self) -> None:
-        machine = ServerInvite(request(), reliable=False)
+        machine = InviteServer(request(), reliable=False)
         trying, final = response(request(), 100), response(request(), 503)
         machine.respond(trying, 0.0)
         self.assertEqual(machine.receive(request(), 0.1), [Send(trying)])
@@ -122,19 +122,19 @@
         self.assertEqual(machine.respond(response(request(), 200), 0.4), [])
 
     def test_an_accepted_invite_absorbs_its_repeats_until_timer_l(self) -> None:
-        machine = ServerInvite(request(), reliable=True)
+        machine = InviteServer(request(), reliable=True)
         machine.respond(response(request(), 200), 0.0)
         self.assertEqual(machine.receive(request(), 1.0), [])
         self.assertEqual([type(one) for one in machine.receive(request("ACK"), 1.0)], [Deliver])
         self.assertEqual(machine.due, 32.0)
 
     def test_timer_j(self) -> None:
-        machine = ServerOther(request("BYE"), reliable=False)
+        machine = NonInviteServer(request("BYE"), reliable=False)
         ok = response(request("BYE"), 200)
         machine.respond(ok, 0.0)
         self.assertEqual(machine.receive(request("BYE"), 31.0), [Send(ok)])
         run(machine, 32.0)
-        self.assertTrue(machine.over)
+        self.assertTrue(machine.terminated)
 
     def test_keys(self) -> None:
         self.assertEqual(server_key(request()), server_key(request("ACK")))
@@ -150,33 +150,33 @@
         invite = request()
         invite.headers += [("Record-Route", "<sip:p1@127.0.0.1;lr>, <sip:p2@127.0.0.1;lr>")]
         answer = response(invite, 200, ("Contact", "<sip:b@127.0.0.1:5070>"), tag="b")
-        answer.headers += [("Record-Route", value) for value in invite.all("record-route")]
-        server, client = Dialog.of_server(invite, "b"), Dialog.of_client(invite, answer)
+        answer.headers += [("Record-Route", value) for value in invite.get_all("record-route")]
+        server, client = Dialog.for_uas(invite, "b"), Dialog.for_uac(invite, answer)
         self.assertEqual(server.key, ("c", "b", "a"))
         self.assertEqual(client.key, ("c", "a", "b"))
         self.assertEqual(server.routes, list(reversed(client.routes)))
-        bye = client.request("BYE", "SIP/2.0/UDP x;branch=z9hG4bK9")
+        bye = client.build_request("BYE", "SIP/2.0/UDP x;branch=z9hG4bK9")
         self.assertEqual((bye.uri, bye.cseq()), ("sip:b@127.0.0.1:5070", (2, "BYE")))
-        self.assertEqual(bye.all("route")[0], "<sip:p2@127.0.0.1;lr>")
+        self.assertEqual(bye.get_all("route")[0], "<sip:p2@127.0.0.1;lr>")
 
     def test_a_strict_router_takes_the_place_of_the_target(self) -> None:
         dialog = Dialog("c", "<sip:a@net>;tag=a", "<sip:b@net>;tag=b", "sip:b@127.0.0.1", ["sip:old@127.0.0.1"])
-        bye = dialog.request("BYE", "v")
-        self.assertEqual((bye.uri, bye.all("route")), ("sip:old@127.0.0.1", ["<sip:b@127.0.0.1>"]))
+        bye = dialog.build_request("BYE", "v")
+        self.assertEqual((bye.uri, bye.get_all("route")), ("sip:old@127.0.0.1", ["<sip:b@127.0.0.1>"]))
 
     def test_order_of_cseq(self) -> None:
-        dialog = Dialog.of_server(request(), "b")
+        dialog = Dialog.for_uas(request(), "b")
         late = request("BYE")
         late.headers = [(n, "0 BYE" if n == "CSeq" else v) for n, v in late.headers]
-        self.assertFalse(dialog.accepts(late))
-        self.assertTrue(dialog.accepts(request("BYE")))
+        self.assertFalse(dialog.accept_cseq(late))
+        self.assertTrue(dialog.accept_cseq(request("BYE")))
 
     def test_an_answer_is_resent_at_growing_gaps_until_it_expires_or_is_acked(self) -> None:
-        resender, sent = Resender(response(request(), 200), 0.0), []
+        resender, sent = AnswerRetransmitter(response(request(), 200), 0.0), []
         while not resender.expired(resender.due):
             sent.append(resender.due)
             self.assertIsNotNone(resender.poll(resender.due))
         self.assertEqual(sent[:5], [0.5, 1.5, 3.5, 7.5, 11.5])
         self.assertEqual(resender.due, 32.0)
-        resender.acked()
+        resender.ack_received()
         self.assertFalse(resender.expired(99.0))
