--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -159,7 +159,7 @@
         reader, told = ResponseReader(), []
         for place in range(len(data)):
             if answer := reader.feed(data[place : place + 1]):
-                told.append((answer.status, answer.body, answer.keeps))
+                told.append((answer.status, answer.body, answer.keep_alive))
         self.assertEqual(told, [(200, b"abcde", True), (204, b"", False)])
 
     def test_what_is_no_answer_raises(self) -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -32,7 +32,7 @@
 
     async def call(self, method: str, path: str) -> tuple[int, Any]:
         told = ResponseReader().feed(await self.raw(f"{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode()))
-        assert told and not told.keeps
+        assert told and not told.keep_alive
         return told.status, json.loads(told.body) if told.body else None
 
     async def test_measures_are_there_where_they_are_switched_on_and_agree_with_the_figures(self) -> None:
