--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -18,10 +18,10 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from seamlb.agree.holder import Stance
+from seamlb.agree.holder import LeaseState
 from seamlb.planning.words import table
 from tests.council import LEASE, TICK, World
-from tests.faults import faults, newest, rest
+from tests.faults import inject_faults, newest_version, recover
 
 READ = 60.0  # seconds within which all agents have been told to read a file of settings
 MOST = 60.0  # seconds that are watched
@@ -37,20 +37,20 @@
     rate = world.bytes / agents / (world.now - began)
     last = f"a{agents - 1:03}"
     if cut:
-        world.cut = lambda a, b: (last in (a, b)) and a != b
-    began, number = world.now, newest(world).number + 1
+        world.is_cut = lambda a, b: (last in (a, b)) and a != b
+    began, number = world.now, newest_version(world).number + 1
     times: dict[str, float] = {}
-    world.propose("a000", newest(world).next(limit=20))
+    world.propose("a000", newest_version(world).with_values(limit=20))
     while len(times) < agents - cut and world.now - began < MOST:
         world.step()
         for name, node in world.nodes.items():
             if (
                 name not in times
                 and node.holder.newest.number == number
-                and (node.holder.stance(world.now * node.rate) is Stance.PLAIN)
+                and (node.holder.lease_state(world.now * node.clock_rate) is LeaseState.IN_FORCE)
             ):
                 times[name] = world.now - began
-    contradict = len({line.split(":")[0] for line in world.broken}) * TICK
+    contradict = len({line.split(":")[0] for line in world.violations}) * TICK
     found = sorted(times.values()) + [MOST] * (agents - cut - len(times))
     return found, contradict, rate
 
@@ -78,9 +78,13 @@
     """Random faults for 30 s, then rest: contradictions, charters, is all in force again?"""
     agents, seed = job
     world = World(seed, agents, 5 if agents > 5 else 3, loss=0.1)
-    faults(world, random.Random(seed), 30.0)
-    rest(world)
-    return len(world.broken), newest(world).number - 1, world.in_force(newest(world).number) == agents
+    inject_faults(world, random.Random(seed), 30.0)
+    recover(world)
+    return (
+        len(world.violations),
+        newest_version(world).number - 1,
+        world.count_in_force(newest_version(world).number) == agents,
+    )
 
 
 def quantile(values: list[float], part: float) -> float:
--- a/benchmarks/agree_processes.py
+++ b/benchmarks/agree_processes.py
@@ -17,7 +17,7 @@
 
 from seamlb.planning.words import table
 from tests.agreed import WITHIN, Site, boottime
-from tests.schedules import play, schedules
+from tests.schedules import run_schedule, schedules
 
 
 async def proposals(times: int, fault: str) -> tuple[list[float], float]:
@@ -27,16 +27,16 @@
         found: list[float] = []
         try:
             await site.start()
-            await site.all_act(1)
+            await site.wait_for_all(1)
             but = ["a4"] if fault == "cut off" else ["a1"] if fault == "killed" else []
             if fault == "killed":
                 await site.kill("a1")
             if fault == "cut off":
-                site.cut({"a4"})
+                site.isolate({"a4"})
             for number in range(2, times + 2):
                 began = boottime()
                 await site.propose("a0", open=10 + number % 90)
-                await site.all_act(number, *but)
+                await site.wait_for_all(number, *but)
                 acts = [
                     one["since"]
                     for name in site.names
@@ -52,7 +52,7 @@
 
 def one(schedule: tuple[str, ...]) -> tuple[bool, set[tuple[object, ...]]]:
     seen: set[tuple[object, ...]] = set()
-    return bool(play(schedule, seen).broken), seen
+    return bool(run_schedule(schedule, seen).violations), seen
 
 
 def main() -> None:
--- a/seamlb/agree/council.py
+++ b/seamlb/agree/council.py
@@ -10,260 +10,258 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from seamlb.agree.charter import Charter, CharterError, decode
-from seamlb.agree.kept import Kept
-from seamlb.agree.notes import DRIFT, NONE, Ballot, Kind, Note
+from seamlb.agree.charter import ConfigVersion, VersionError, decode
+from seamlb.agree.kept import PersistedState
+from seamlb.agree.notes import MAX_CLOCK_DRIFT, NO_BALLOT, Ballot, Kind, Message
 
-Out = list[tuple[str, Note]]
-TELL_EVERY = 0.2  # part of a lease between two words to the other members
-VOTE = 0.1  # part of a lease after which a vote that came to nothing is begun anew, with a little chance,
-LONGER = 8.0  # and twice as long each time, so that four messages get through however slow they are; to so many times
+Outgoing = list[tuple[str, Message]]
+STATE_INTERVAL = 0.2  # part of a lease between two words to the other members
+VOTE_TIMEOUT = 0.1  # of a lease: delay before a vote without a result is retried, times a random 1 to 2
+MAX_BACKOFF = 8.0  # the delay doubles with each retry up to this factor, for networks with long delays
 
 
 @dataclass(slots=True)
-class Vote:
+class Proposal:
     """One that we have begun."""
 
     ballot: Ballot
-    mine: Charter | None  # what we want; None: only to end what another left open
-    again_at: float
-    patience: float
+    wanted: ConfigVersion | None  # what we want; None: only to end what another left open
+    retry_at: float
+    backoff: float
     promises: dict[str, tuple[Ballot, bytes]] = field(default_factory=dict)
-    putting: Charter | None = None  # what we must put to the vote
-    accepted: set[str] = field(default_factory=set)
+    value: ConfigVersion | None = None  # what we must put to the vote
+    accepted_by: set[str] = field(default_factory=set)
 
 
-class Member:
+class Voter:
     """One member; `save` puts bytes on the disk and raises OSError if it is not known to be there."""
 
     def __init__(
         self,
         name: str,
-        born: int,
+        epoch: int,
         lease: float,
-        kept: Kept,
+        state: PersistedState,
         now: float,
         save: Callable[[bytes], None],
         rng: random.Random,
     ) -> None:
-        self.name, self.born, self.lease, self.kept, self.save, self.rng = name, born, lease, kept, save, rng
-        self.out_of_it = ""  # why we vote no more; the process has to be started anew on a disk that holds
+        self.name, self.epoch, self.lease, self.state, self.save, self.rng = name, epoch, lease, state, save, rng
+        self.halt_reason = ""  # why we vote no more; the process has to be started anew on a disk that holds
         # What we granted before our start is forgotten: it is over only by then. (A3) Until then we vote and lend
         # nothing, and whoever remembers more of us than our disk has can say so. (A5)
-        self.quiet_until = now + lease * (1 + DRIFT)
+        self.inactive_until = now + lease * (1 + MAX_CLOCK_DRIFT)
         self.grants: dict[str, tuple[int, float]] = {}  # agent: the charter it may act on, and until when
         self.cleared: dict[str, int] = {}  # member: the charter before whose number all its leases are over
         self.fences: dict[str, tuple[int, int]] = {}  # member: the highest `born` and `saved` heard
-        self.vote: Vote | None = None
-        self.tell_at = now
-        self.said: list[tuple[str, dict[str, object]]] = []
-        self.open_since = now  # when something was accepted in the open slot
-
-    # -- what is known ------------------------------------------------------------------------
+        self.proposal: Proposal | None = None
+        self.state_due_at = now
+        self.log_lines: list[tuple[str, dict[str, object]]] = []
+        self.accepted_at = now  # when something was accepted in the open slot
 
     @property
-    def newest(self) -> Charter:
+    def newest(self) -> ConfigVersion:
         """The newest version that is known to be chosen."""
-        return self.kept.newest
+        return self.state.newest
 
     def in_force(self) -> bool:
         """Are all leases on what came before over, as majorities of both councils say? (A2)"""
         over = {one for one, number in self.cleared.items() if number >= self.newest.number}
-        return all(len(over & set(one.council)) >= one.majority for one in (self.kept.before, self.newest))
+        return all(len(over & set(one.voters)) >= one.majority for one in (self.state.previous, self.newest))
 
-    def _keep(self, **change: object) -> bool:
+    def _persist(self, **change: object) -> bool:
         """Put a change on the disk; False if the disk failed, and then nothing of it may be told. (A1)"""
-        if self.out_of_it:
+        if self.halt_reason:
             return False
-        new = replace(self.kept, saved=self.kept.saved + 1, **change)  # type: ignore[arg-type]
+        new = replace(self.state, writes=self.state.writes + 1, **change)  # type: ignore[arg-type]
         try:
             self.save(new.encode())
         except OSError as error:
-            self._step_out(f"the disk failed: {error.strerror or error}")
+            self._halt(f"the disk failed: {error.strerror or error}")
             return False
-        self.kept = new
+        self.state = new
         return True
 
-    def _step_out(self, why: str) -> None:
-        if not self.out_of_it:
-            self.out_of_it, self.vote = why, None
-            self.said.append(("council_out", {"reason": why}))
-
-    def _note(self, kind: Kind, **more: object) -> Note:
-        return Note(kind, self.name, self.born, self.kept.saved, **({"slot": self.newest.number} | more))  # type: ignore[arg-type]
+    def _halt(self, why: str) -> None:
+        if not self.halt_reason:
+            self.halt_reason, self.proposal = why, None
+            self.log_lines.append(("council_out", {"reason": why}))
 
-    def _others(self) -> list[str]:
-        return sorted({*self.newest.council, *self.kept.before.council} - {self.name})
+    def _message(self, kind: Kind, **more: object) -> Message:
+        return Message(kind, self.name, self.epoch, self.state.writes, **({"slot": self.newest.number} | more))  # type: ignore[arg-type]
 
-    # -- time ---------------------------------------------------------------------------------
+    def _other_voters(self) -> list[str]:
+        return sorted({*self.newest.voters, *self.state.previous.voters} - {self.name})
 
-    def tick(self, now: float) -> Out:
+    def tick(self, now: float) -> Outgoing:
         """Time has passed; call it ten times a lease, or oftener."""
-        if self.out_of_it:
+        if self.halt_reason:
             return []
         self.grants = {agent: one for agent, one in self.grants.items() if one[1] > now}
-        out: Out = []
+        out: Outgoing = []
         number, still = self.newest.number, any(on < self.newest.number for on, _ in self.grants.values())
-        if self.cleared.get(self.name, 0) < number and now >= self.quiet_until and not still:
-            self.cleared[self.name], self.tell_at = number, now
-        if now >= self.tell_at:
-            self.tell_at = now + self.lease * TELL_EVERY
-            note = self._note(Kind.STATE, cleared=self.cleared.get(self.name, 0))
-            out += [(one, note) for one in self._others()]
-        if self.vote and now >= self.vote.again_at:
-            out += self._begin(now, self.vote.mine)
-        elif self.vote is None and self.kept.accepted and now - self.open_since > self.lease * VOTE * 5:
-            out += self._begin(now, None)  # whoever began it is gone
+        if self.cleared.get(self.name, 0) < number and now >= self.inactive_until and not still:
+            self.cleared[self.name], self.state_due_at = number, now
+        if now >= self.state_due_at:
+            self.state_due_at = now + self.lease * STATE_INTERVAL
+            message = self._message(Kind.STATE, cleared=self.cleared.get(self.name, 0))
+            out += [(one, message) for one in self._other_voters()]
+        if self.proposal and now >= self.proposal.retry_at:
+            out += self._start_ballot(now, self.proposal.wanted)
+        elif self.proposal is None and self.state.accepted and now - self.accepted_at > self.lease * VOTE_TIMEOUT * 5:
+            out += self._start_ballot(now, None)  # whoever began it is gone
         return out
 
-    # -- votes --------------------------------------------------------------------------------
-
-    def propose(self, now: float, charter: Charter) -> tuple[str, Out]:
+    def propose(self, now: float, version: ConfigVersion) -> tuple[str, Outgoing]:
         """Put a charter to the vote: why not, or empty, and what to send. Whether it is chosen shows in `newest`."""
-        if self.out_of_it:
-            return self.out_of_it, []
-        if self.name not in self.newest.council:
+        if self.halt_reason:
+            return self.halt_reason, []
+        if self.name not in self.newest.voters:
             return "not a member of the council", []
-        if why := charter.follows(self.newest):
+        if why := version.succession_error(self.newest):
             return why, []
         if not self.in_force():
             return f"charter {self.newest.number} is not in force yet", []
-        return "", self._begin(now, charter)
+        return "", self._start_ballot(now, version)
 
-    def _begin(self, now: float, mine: Charter | None) -> Out:
+    def _start_ballot(self, now: float, wanted: ConfigVersion | None) -> Outgoing:
         if not self.in_force():
-            self.vote = None
+            self.proposal = None
             return []
-        ballot = (max(self.kept.promised[0], self.vote.ballot[0] if self.vote else 0) + 1, self.name)
-        patience = min(2.0 * self.vote.patience, LONGER) if self.vote else 1.0
-        self.vote = Vote(ballot, mine, now + self.lease * VOTE * patience * (1 + self.rng.random()), patience)
-        note = self._note(Kind.PREPARE, slot=self.newest.number + 1, ballot=ballot)
-        return [(one, note) for one in self.newest.council]
-
-    def _open(self, slot: int) -> bool:
+        ballot = (max(self.state.promised[0], self.proposal.ballot[0] if self.proposal else 0) + 1, self.name)
+        backoff = min(2.0 * self.proposal.backoff, MAX_BACKOFF) if self.proposal else 1.0
+        self.proposal = Proposal(
+            ballot, wanted, now + self.lease * VOTE_TIMEOUT * backoff * (1 + self.rng.random()), backoff
+        )
+        message = self._message(Kind.PREPARE, slot=self.newest.number + 1, ballot=ballot)
+        return [(one, message) for one in self.newest.voters]
+
+    def _is_open(self, slot: int) -> bool:
         return slot == self.newest.number + 1 and self.in_force()
 
-    def _asked(self, now: float, note: Note) -> Out:
+    def _on_request(self, now: float, message: Message) -> Outgoing:
         """PREPARE or ACCEPT."""
-        if now < self.quiet_until:
+        if now < self.inactive_until:
             return []
-        if not self._open(note.slot) or note.ballot < self.kept.promised:
-            return [(note.sender, self._note(Kind.TURNED_DOWN, slot=note.slot, ballot=self.kept.promised))]
-        if note.kind == Kind.PREPARE:
-            if not self._keep(promised=note.ballot):
+        if not self._is_open(message.slot) or message.ballot < self.state.promised:
+            return [(message.sender, self._message(Kind.REJECTED, slot=message.slot, ballot=self.state.promised))]
+        if message.kind == Kind.PREPARE:
+            if not self._persist(promised=message.ballot):
                 return []
             return [
                 (
-                    note.sender,
-                    self._note(
+                    message.sender,
+                    self._message(
                         Kind.PROMISE,
-                        slot=note.slot,
-                        ballot=note.ballot,
-                        voted=self.kept.voted,
-                        body=self.kept.accepted,
+                        slot=message.slot,
+                        ballot=message.ballot,
+                        accepted_ballot=self.state.accepted_ballot,
+                        body=self.state.accepted,
                     ),
                 )
             ]
         try:
-            wrong = decode(note.body).follows(self.newest)
-        except CharterError as error:
+            wrong = decode(message.body).succession_error(self.newest)
+        except VersionError as error:
             wrong = str(error)
         if wrong:
-            self.said.append(("council_refused", {"from": note.sender, "reason": wrong}))
+            self.log_lines.append(("council_refused", {"from": message.sender, "reason": wrong}))
             return []
-        if not self._keep(promised=note.ballot, voted=note.ballot, accepted=note.body):
+        if not self._persist(promised=message.ballot, accepted_ballot=message.ballot, accepted=message.body):
             return []
-        self.open_since = now
-        return [(note.sender, self._note(Kind.ACCEPTED, slot=note.slot, ballot=note.ballot))]
+        self.accepted_at = now
+        return [(message.sender, self._message(Kind.ACCEPTED, slot=message.slot, ballot=message.ballot))]
 
-    def _promised(self, note: Note) -> Out:
-        vote = self.vote
-        if vote is None or vote.ballot != note.ballot or vote.putting or note.slot != self.newest.number + 1:
+    def _on_promise(self, message: Message) -> Outgoing:
+        ours = self.proposal
+        if ours is None or ours.ballot != message.ballot or ours.value or message.slot != self.newest.number + 1:
             return []
-        vote.promises[note.sender] = note.voted, note.body
-        if len(vote.promises.keys() & set(self.newest.council)) < self.newest.majority:
+        ours.promises[message.sender] = message.accepted_ballot, message.body
+        if len(ours.promises.keys() & set(self.newest.voters)) < self.newest.majority:
             return []
-        last = max(vote.promises.values())[1]  # it may have been chosen already: nothing else may be
-        vote.putting = decode(last) if last else vote.mine
-        if vote.putting is None:
-            self.vote = None
+        last = max(ours.promises.values())[1]  # it may have been chosen already: nothing else may be
+        ours.value = decode(last) if last else ours.wanted
+        if ours.value is None:
+            self.proposal = None
             return []
-        put = self._note(Kind.ACCEPT, slot=note.slot, ballot=vote.ballot, body=vote.putting.body)
-        return [(one, put) for one in self.newest.council]
+        put = self._message(Kind.ACCEPT, slot=message.slot, ballot=ours.ballot, body=ours.value.body)
+        return [(one, put) for one in self.newest.voters]
 
-    def _accepted(self, now: float, note: Note) -> Out:
-        vote = self.vote
-        if vote is None or vote.ballot != note.ballot or vote.putting is None:
+    def _on_accepted(self, now: float, message: Message) -> Outgoing:
+        ours = self.proposal
+        if ours is None or ours.ballot != message.ballot or ours.value is None:
             return []
-        vote.accepted.add(note.sender)
-        if len(vote.accepted & set(self.newest.council)) < self.newest.majority:
+        ours.accepted_by.add(message.sender)
+        if len(ours.accepted_by & set(self.newest.voters)) < self.newest.majority:
             return []
         # Agents are told by who won, lest all members tell all of them; who misses it learns of it when it asks.
-        agents = sorted(self.grants.keys() - set(self._others()))
-        out = self._choose(now, vote.putting, self.newest)
-        return out + [(one, self._chosen()) for one in agents if out]
+        agents = sorted(self.grants.keys() - set(self._other_voters()))
+        out = self._adopt(now, ours.value, self.newest)
+        return out + [(one, self._chosen_message()) for one in agents if out]
 
-    def _choose(self, now: float, charter: Charter, before: Charter) -> Out:
+    def _adopt(self, now: float, version: ConfigVersion, previous: ConfigVersion) -> Outgoing:
         """It is decided; from now on nobody gets a lease on less from us. (A4)"""
-        if charter.number <= self.newest.number or not self._keep(
-            newest=charter, before=before, promised=NONE, voted=NONE, accepted=b""
+        if version.number <= self.newest.number or not self._persist(
+            newest=version, previous=previous, promised=NO_BALLOT, accepted_ballot=NO_BALLOT, accepted=b""
         ):
             return []
-        self.vote = None
-        self.said.append(("charter_chosen", {"number": charter.number, "digest": charter.digest}))
-        self.tell_at = now
-        return [(one, self._chosen()) for one in self._others()]
+        self.proposal = None
+        self.log_lines.append(("charter_chosen", {"number": version.number, "digest": version.digest}))
+        self.state_due_at = now
+        return [(one, self._chosen_message()) for one in self._other_voters()]
 
-    def _chosen(self) -> Note:
-        return self._note(Kind.CHOSEN, body=self.newest.body, before=self.kept.before.body)
+    def _chosen_message(self) -> Message:
+        return self._message(Kind.CHOSEN, body=self.newest.body, previous=self.state.previous.body)
 
-    # -- notes --------------------------------------------------------------------------------
-
-    def received(self, now: float, note: Note) -> Out:
+    def on_message(self, now: float, message: Message) -> Outgoing:
         """A note that may be believed."""
-        if self.out_of_it:
+        if self.halt_reason:
             return []
-        if note.kind == Kind.ASK:
-            return self._lend(now, note)
-        born, saved = self.fences.get(note.sender, (0, 0))
-        if note.born < born or (note.born > born and note.saved < saved):
+        if message.kind == Kind.LEASE_REQUEST:
+            return self._grant_lease(now, message)
+        epoch, writes = self.fences.get(message.sender, (0, 0))
+        if message.epoch < epoch or (message.epoch > epoch and message.writes < writes):
             # A process before its present one, or one whose disk went back: it may have promised more. (A5)
-            self.said.append(("council_fenced", {"from": note.sender, "born": note.born, "saved": note.saved}))
-            return [(note.sender, Note(Kind.BACK, self.name, self.born, saved, ask=note.born))]
-        self.fences[note.sender] = note.born, max(saved, note.saved)
-        match note.kind:
+            self.log_lines.append(
+                ("council_fenced", {"from": message.sender, "born": message.epoch, "saved": message.writes})
+            )
+            return [
+                (message.sender, Message(Kind.ROLLED_BACK, self.name, self.epoch, writes, request_id=message.epoch))
+            ]
+        self.fences[message.sender] = message.epoch, max(writes, message.writes)
+        match message.kind:
             case Kind.PREPARE | Kind.ACCEPT:
-                return self._asked(now, note)
+                return self._on_request(now, message)
             case Kind.PROMISE:
-                return self._promised(note)
+                return self._on_promise(message)
             case Kind.ACCEPTED:
-                return self._accepted(now, note)
-            case Kind.TURNED_DOWN:
-                if self.vote and note.ballot > self.vote.ballot:
-                    self.vote.ballot = (note.ballot[0], self.name)  # the next round begins above it
+                return self._on_accepted(now, message)
+            case Kind.REJECTED:
+                if self.proposal and message.ballot > self.proposal.ballot:
+                    self.proposal.ballot = (message.ballot[0], self.name)  # the next round begins above it
             case Kind.STATE:
-                self.cleared[note.sender] = max(self.cleared.get(note.sender, 0), note.cleared)
-                if note.slot > self.newest.number:
-                    return [(note.sender, self._note(Kind.FETCH))]
-            case Kind.BACK:
-                if note.ask == self.born and note.saved > self.kept.saved:
-                    self._step_out(f"the disk has gone back: {self.kept.saved} after {note.saved}")
+                self.cleared[message.sender] = max(self.cleared.get(message.sender, 0), message.cleared)
+                if message.slot > self.newest.number:
+                    return [(message.sender, self._message(Kind.FETCH))]
+            case Kind.ROLLED_BACK:
+                if message.request_id == self.epoch and message.writes > self.state.writes:
+                    self._halt(f"the disk has gone back: {self.state.writes} after {message.writes}")
             case Kind.FETCH:
-                return [(note.sender, self._chosen())]
+                return [(message.sender, self._chosen_message())]
             case Kind.CHOSEN:
                 try:
-                    return self._choose(now, decode(note.body), decode(note.before))
-                except CharterError as error:
-                    self.said.append(("council_refused", {"from": note.sender, "reason": str(error)}))
+                    return self._adopt(now, decode(message.body), decode(message.previous))
+                except VersionError as error:
+                    self.log_lines.append(("council_refused", {"from": message.sender, "reason": str(error)}))
         return []
 
-    def _lend(self, now: float, note: Note) -> Out:
+    def _grant_lease(self, now: float, message: Message) -> Outgoing:
         """A lease on the newest charter, to an agent that knows it; else word of it."""
         number = self.newest.number
-        if note.slot < number:
-            return [(note.sender, self._chosen())]
-        if note.slot > number or now < self.quiet_until:
+        if message.slot < number:
+            return [(message.sender, self._chosen_message())]
+        if message.slot > number or now < self.inactive_until:
             return []
-        self.grants[note.sender] = number, now + self.lease * (1 + DRIFT)
+        self.grants[message.sender] = number, now + self.lease * (1 + MAX_CLOCK_DRIFT)
         cleared = number if self.in_force() else 0
-        return [(note.sender, self._note(Kind.GRANT, ask=note.ask, cleared=cleared))]
+        return [(message.sender, self._message(Kind.LEASE_GRANT, request_id=message.request_id, cleared=cleared))]
--- a/seamlb/agree/frames.py
+++ b/seamlb/agree/frames.py
@@ -15,13 +15,13 @@
 from hashlib import blake2b
 from hmac import compare_digest
 
-from seamlb.agree.charter import MOST
-from seamlb.agree.notes import Note, decode
+from seamlb.agree.charter import MAX_VERSION_BYTES
+from seamlb.agree.notes import Message, decode
 
-MAC = 16
-FOUNDING = 16  # bytes of a charter's digest
-LONGEST = 8 * MOST  # two charters, whose quotation marks are written as two characters
-HEAD = struct.Struct(">IB")
+MAC_BYTES = 16
+DIGEST_BYTES = 16  # bytes of a charter's digest
+MAX_FRAME_BYTES = 8 * MAX_VERSION_BYTES  # two charters, whose quotation marks are written as two characters
+HEADER = struct.Struct(">IB")
 
 
 class FrameError(ValueError):
@@ -31,61 +31,65 @@
 class Codec:
     """One process's side: its name, its site's founding charter and its keys, which may be rotated."""
 
-    def __init__(self, name: str, founding: str, taken: Mapping[int, bytes], send: int) -> None:
-        self.name, self.founding = name, bytes.fromhex(founding)
+    def __init__(self, name: str, founding_digest: str, accepted_keys: Mapping[int, bytes], signing_key: int) -> None:
+        self.name, self.founding_digest = name, bytes.fromhex(founding_digest)
         self.dropped: Counter[str] = Counter()
-        self.rotate(taken, send)
+        self.rotate(accepted_keys, signing_key)
 
-    def rotate(self, taken: Mapping[int, bytes], send: int) -> None:
+    def rotate(self, accepted_keys: Mapping[int, bytes], signing_key: int) -> None:
         """Other keys from now on: all of them are taken, one signs."""
-        self.taken, self.send = dict(taken), send
+        self.accepted_keys, self.signing_key = dict(accepted_keys), signing_key
 
-    def encode(self, to: str, note: Note) -> bytes:
+    def encode(self, to: str, message: Message) -> bytes:
         """One frame."""
         name = to.encode()
-        body = bytes([len(name)]) + name + self.founding + note.encode()
-        return HEAD.pack(1 + MAC + len(body), self.send) + _mac(self.taken[self.send], body) + body
-
-    def decode(self, key: int, signed: bytes) -> Note | None:
+        body = bytes([len(name)]) + name + self.founding_digest + message.encode()
+        return (
+            HEADER.pack(1 + MAC_BYTES + len(body), self.signing_key)
+            + _mac(self.accepted_keys[self.signing_key], body)
+            + body
+        )
+
+    def decode(self, key: int, signed: bytes) -> Message | None:
         """The note of a frame; None: it was counted and dropped."""
-        mac, body = signed[:MAC], signed[MAC:]
-        if key not in self.taken or not compare_digest(_mac(self.taken[key], body), mac):
+        mac, body = signed[:MAC_BYTES], signed[MAC_BYTES:]
+        if key not in self.accepted_keys or not compare_digest(_mac(self.accepted_keys[key], body), mac):
             return self._drop("wrong signature")
         at = 1 + body[0] if body else 0
         if body[1:at] != self.name.encode():
             return self._drop("not for us")
-        if body[at : at + FOUNDING] != self.founding:
+        if body[at : at + DIGEST_BYTES] != self.founding_digest:
             return self._drop("another founding charter")
         try:
-            return decode(body[at + FOUNDING :])
+            return decode(body[at + DIGEST_BYTES :])
         except ValueError:
             return self._drop("unreadable")
 
-    def _drop(self, reason: str) -> Note | None:
+    def _drop(self, reason: str) -> Message | None:
         self.dropped[reason] += 1
         return None
 
 
-class Reader:
+class FrameReader:
     """One stream's bytes into notes."""
 
     def __init__(self, codec: Codec) -> None:
         self.codec, self.buffer = codec, bytearray()
 
-    def feed(self, data: bytes) -> Iterator[Note]:
+    def feed(self, data: bytes) -> Iterator[Message]:
         """Notes that are whole now; FrameError."""
         self.buffer += data
-        while len(self.buffer) >= HEAD.size:
-            length, key = HEAD.unpack_from(self.buffer)
-            if not 1 + MAC <= length <= LONGEST:
+        while len(self.buffer) >= HEADER.size:
+            length, key = HEADER.unpack_from(self.buffer)
+            if not 1 + MAC_BYTES <= length <= MAX_FRAME_BYTES:
                 raise FrameError(f"a frame of {length} bytes")
             end = 4 + length
             if len(self.buffer) < end:
                 return
-            signed = bytes(self.buffer[HEAD.size : end])
+            signed = bytes(self.buffer[HEADER.size : end])
             del self.buffer[:end]
-            if note := self.codec.decode(key, signed):
-                yield note
+            if message := self.codec.decode(key, signed):
+                yield message
 
     @property
     def partial(self) -> bool:
@@ -94,4 +98,4 @@
 
 
 def _mac(secret: bytes, body: bytes) -> bytes:
-    return blake2b(body, key=secret, digest_size=MAC).digest()
+    return blake2b(body, key=secret, digest_size=MAC_BYTES).digest()
--- a/seamlb/agree/kept.py
+++ b/seamlb/agree/kept.py
@@ -6,43 +6,43 @@
 
 import orjson
 
-from seamlb.agree.charter import Charter, decode
-from seamlb.agree.notes import NONE, Ballot
+from seamlb.agree.charter import ConfigVersion, decode
+from seamlb.agree.notes import NO_BALLOT, Ballot
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistedState:
     """`promised`, `voted` and `accepted` are of the open slot; `saved` counts records and only goes up."""
 
-    newest: Charter
-    before: Charter
-    promised: Ballot = NONE
-    voted: Ballot = NONE
+    newest: ConfigVersion
+    previous: ConfigVersion
+    promised: Ballot = NO_BALLOT
+    accepted_ballot: Ballot = NO_BALLOT
     accepted: bytes = b""
-    saved: int = 0
+    writes: int = 0
 
     def encode(self) -> bytes:
         """The record's bytes."""
         return orjson.dumps(
             [
                 self.newest.body.decode(),
-                self.before.body.decode(),
+                self.previous.body.decode(),
                 self.promised,
-                self.voted,
+                self.accepted_ballot,
                 self.accepted.decode(),
-                self.saved,
+                self.writes,
             ]
         )
 
 
-def read_kept(body: bytes) -> Kept:
+def decode_state(body: bytes) -> PersistedState:
     """From a record; ValueError."""
-    newest, before, promised, voted, accepted, saved = orjson.loads(body)
-    return Kept(
+    newest, previous, promised, accepted_ballot, accepted, writes = orjson.loads(body)
+    return PersistedState(
         decode(newest.encode()),
-        decode(before.encode()),
+        decode(previous.encode()),
         (promised[0], promised[1]),
-        (voted[0], voted[1]),
+        (accepted_ballot[0], accepted_ballot[1]),
         accepted.encode(),
-        saved,
+        writes,
     )
--- a/seamlb/agree/lists.py
+++ b/seamlb/agree/lists.py
@@ -14,7 +14,7 @@
 from enum import IntEnum
 
 
-class Listed(IntEnum):
+class DeskStatus(IntEnum):
     """What a source says of a desk; the higher, the stricter."""
 
     READY = 0
@@ -23,13 +23,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class Entry:
     """What one source said of one desk in one of its revisions."""
 
     source: str
     revision: int
     desk: str
-    listed: Listed
+    status: DeskStatus
 
 
 @dataclass(slots=True)
@@ -37,10 +37,10 @@
     """`revision`: up to which all is known here; `words`: the newest of each desk, also those passed on to us."""
 
     revision: int = 0
-    words: dict[str, Word] = field(default_factory=dict)
+    entries: dict[str, Entry] = field(default_factory=dict)
 
 
-class Lists:
+class DeskLists:
     """What one agent knows of all sources."""
 
     def __init__(self, sources: tuple[str, ...]) -> None:
@@ -51,53 +51,62 @@
         """Up to which revision each source is known here."""
         return {name: one.revision for name, one in self.sources.items()}
 
-    def heard(self, source: str, revision: int, desks: Mapping[str, Listed], whole: bool) -> set[str]:
+    def apply_revision(self, source: str, revision: int, desks: Mapping[str, DeskStatus], whole: bool) -> set[str]:
         """A source's own revision: all its desks, or (`whole` false) those that changed since the one before.
 
         Returns the desks whose state here may have changed. A change that leaves a gap is taken as words, and what
         lies between is asked for by whoever follows the source: `vector` stays.
         """
         known = self.sources[source]
-        words = [Word(source, revision, desk, listed) for desk, listed in desks.items()]
+        entries = [Entry(source, revision, desk, status) for desk, status in desks.items()]
         if whole and revision >= known.revision:
-            words += [Word(source, revision, desk, Listed.GONE) for desk in known.words.keys() - desks.keys()]
-        news = {word.desk for word in words if self.told(word)}
+            entries += [
+                Entry(source, revision, desk, DeskStatus.GONE) for desk in known.entries.keys() - desks.keys()
+            ]
+        news = {entry.desk for entry in entries if self.apply_entry(entry)}
         if (whole and revision > known.revision) or revision == known.revision + 1:
             known.revision = revision
         return news
 
-    def told(self, word: Word) -> bool:
+    def apply_entry(self, entry: Entry) -> bool:
         """One word, from the source or passed on; is it news?"""
-        known = self.sources.get(word.source)
+        known = self.sources.get(entry.source)
         if known is None:
             return False
-        had = known.words.get(word.desk)
+        old = known.entries.get(entry.desk)
         # Of one revision the stricter word holds: then it doesn't matter who is heard first.
-        if had and (had.revision, had.listed) >= (word.revision, word.listed):
+        if old and (old.revision, old.status) >= (entry.revision, entry.status):
             return False
-        if had is None and word.revision <= known.revision:
+        if old is None and entry.revision <= known.revision:
             return False  # what we have is as new, and does not name it
-        known.words[word.desk] = word
-        return had is None or had.listed != word.listed
+        known.entries[entry.desk] = entry
+        return old is None or old.status != entry.status
 
-    def state(self, desk: str) -> Listed:
+    def status(self, desk: str) -> DeskStatus:
         """The strictest word of those sources that name it."""
-        said = [one.words[desk].listed for one in self.sources.values() if desk in one.words]
-        return max((one for one in said if one != Listed.GONE), default=Listed.GONE)
+        said = [one.entries[desk].status for one in self.sources.values() if desk in one.entries]
+        return max((one for one in said if one != DeskStatus.GONE), default=DeskStatus.GONE)
 
-    def desks(self) -> dict[str, Listed]:
+    def desks(self) -> dict[str, DeskStatus]:
         """All that are not gone."""
-        names = {desk for one in self.sources.values() for desk in one.words}
-        return {desk: state for desk in sorted(names) if (state := self.state(desk)) != Listed.GONE}
+        names = {desk for one in self.sources.values() for desk in one.entries}
+        return {desk: status for desk in sorted(names) if (status := self.status(desk)) != DeskStatus.GONE}
 
-    def out(self) -> list[Word]:
+    def drained_or_gone(self) -> list[Entry]:
         """What other agents are to hear from us: desks that a source has taken out or drains."""
-        return [word for one in self.sources.values() for word in one.words.values() if word.listed != Listed.READY]
-
-    def forget(self, vectors: list[Mapping[str, int]]) -> None:
+        return [
+            entry
+            for one in self.sources.values()
+            for entry in one.entries.values()
+            if entry.status != DeskStatus.READY
+        ]
+
+    def discard_gone(self, vectors: list[Mapping[str, int]]) -> None:
         """Drop words of desks that are gone, once all agents know their source up to there (`vectors`: theirs)."""
         for name, one in self.sources.items():
             least = min([one.revision, *(vector.get(name, 0) for vector in vectors)])
-            one.words = {
-                desk: word for desk, word in one.words.items() if word.listed != Listed.GONE or word.revision > least
+            one.entries = {
+                desk: entry
+                for desk, entry in one.entries.items()
+                if entry.status != DeskStatus.GONE or entry.revision > least
             }
--- a/seamlb/agree/merged.py
+++ b/seamlb/agree/merged.py
@@ -8,30 +8,34 @@
 
 from collections.abc import Sequence
 
-from seamlb.agree.lists import Listed, Lists
+from seamlb.agree.lists import DeskLists, DeskStatus
 from seamlb.api import Availability, Scope
 from seamlb.routing.model import Desk, DeskListCallback
 
-LISTED = {Availability.READY: Listed.READY, Availability.DRAINING: Listed.DRAINING, Availability.GONE: Listed.GONE}
-AVAILABLE = {listed: availability for availability, listed in LISTED.items()}
+TO_STATUS = {
+    Availability.READY: DeskStatus.READY,
+    Availability.DRAINING: DeskStatus.DRAINING,
+    Availability.GONE: DeskStatus.GONE,
+}
+TO_AVAILABILITY = {status: availability for availability, status in TO_STATUS.items()}
 
 
-class Merged:
+class DeskListMerger:
     """Gives `changed` one list; nothing until all that are `awaited` have told theirs, or `begin` is called."""
 
-    def __init__(self, names: tuple[str, ...], awaited: tuple[str, ...], changed: DeskListCallback) -> None:
-        self.awaited = awaited
-        self.lists, self.changed = Lists(names), changed
+    def __init__(self, names: tuple[str, ...], required: tuple[str, ...], changed: DeskListCallback) -> None:
+        self.required = required
+        self.desk_lists, self.changed = DeskLists(names), changed
         self.desks: dict[str, dict[str, Desk]] = {name: {} for name in names}  # as each source has them
-        self.counts = dict.fromkeys(names, 0)  # lists heard of each: our own revisions, which no other agent hears
-        self.told: dict[str, Desk] = {}
-        self.begun = False
+        self.revisions = dict.fromkeys(names, 0)  # lists heard of each: our own revisions, which no other agent hears
+        self.published: dict[str, Desk] = {}
+        self.started = False
 
-    def source(self, name: str) -> DeskListCallback:
+    def callback(self, name: str) -> DeskListCallback:
         """What a source tells."""
-        return lambda scope, desks: self.heard(name, scope, desks)
+        return lambda scope, desks: self.on_list(name, scope, desks)
 
-    def heard(self, name: str, scope: Scope, desks: Sequence[Desk]) -> None:
+    def on_list(self, name: str, scope: Scope, desks: Sequence[Desk]) -> None:
         """A source's news."""
         if scope == Scope.FAILED:
             return
@@ -42,45 +46,48 @@
             known[desk.ident] = desk
             if desk.availability == Availability.GONE:
                 del known[desk.ident]
-        self.counts[name] += 1
-        self.lists.heard(
-            name, self.counts[name], {desk.ident: LISTED[Availability(desk.availability)] for desk in desks}, whole
+        self.revisions[name] += 1
+        self.desk_lists.apply_revision(
+            name,
+            self.revisions[name],
+            {desk.ident: TO_STATUS[Availability(desk.availability)] for desk in desks},
+            whole,
         )
-        self.lists.forget([])
-        if self.begun:
-            self._tell()
-        elif all(self.counts[one] for one in self.awaited):
-            self.begin()
+        self.desk_lists.discard_gone([])
+        if self.started:
+            self._publish_changes()
+        elif all(self.revisions[one] for one in self.required):
+            self.publish_first()
 
-    def begin(self) -> None:
+    def publish_first(self) -> None:
         """Tell what is known, though a source may still be silent; once."""
-        if not self.begun and any(self.counts.values()):
-            self.begun = True
-            self.told = self._now()
-            self.changed(Scope.CACHED, list(self.told.values()))
+        if not self.started and any(self.revisions.values()):
+            self.started = True
+            self.published = self._merge()
+            self.changed(Scope.CACHED, list(self.published.values()))
 
-    def _now(self) -> dict[str, Desk]:
+    def _merge(self) -> dict[str, Desk]:
         found = {}
-        for ident, listed in self.lists.desks().items():
+        for ident, status in self.desk_lists.desks().items():
             desk = next(one[ident] for one in self.desks.values() if ident in one)
             found[ident] = Desk(
                 ident,
                 desk.address,
                 desk.zone,
                 desk.cell,
-                AVAILABLE[listed],
+                TO_AVAILABILITY[status],
                 max(one[ident].since_ms for one in self.desks.values() if ident in one),
             )
         return found
 
-    def _tell(self) -> None:
-        now = self._now()
+    def _publish_changes(self) -> None:
+        now = self._merge()
         gone = [
             Desk(one.ident, one.address, one.zone, one.cell, Availability.GONE, one.since_ms)
-            for ident, one in self.told.items()
+            for ident, one in self.published.items()
             if ident not in now
         ]
-        news = [one for ident, one in now.items() if self.told.get(ident) != one]
-        self.told = now
+        news = [one for ident, one in now.items() if self.published.get(ident) != one]
+        self.published = now
         if gone or news:
             self.changed(Scope.DELTA, gone + news)
--- a/seamlb/agree/seat.py
+++ b/seamlb/agree/seat.py
@@ -18,97 +18,99 @@
 
 import orjson
 
-from seamlb.agree.charter import Charter, CharterError
-from seamlb.agree.council import Member, Out
-from seamlb.agree.holder import Holder
-from seamlb.agree.kept import Kept, read_kept
-from seamlb.agree.notes import Kind, Note
+from seamlb.agree.charter import ConfigVersion, VersionError
+from seamlb.agree.council import Outgoing, Voter
+from seamlb.agree.holder import LeaseHolder
+from seamlb.agree.kept import PersistedState, decode_state
+from seamlb.agree.notes import Kind, Message
 from seamlb.store import record
 from seamlb.store.files import DISK, Files
 
-WAITING = 512  # things that a slow disk may keep waiting; more notes are dropped, as if they had been lost
-FOR_HOLDER = (Kind.GRANT, Kind.CHOSEN)
-Said = list[tuple[str, dict[str, object]]]  # log lines that are due: event and facts
+MAX_QUEUED = 512  # things that a slow disk may keep waiting; more notes are dropped, as if they had been lost
+HOLDER_KINDS = (Kind.LEASE_GRANT, Kind.CHOSEN)
+LogLines = list[tuple[str, dict[str, object]]]  # log lines that are due: event and facts
 
 
-def born(folder: Path, files: Files, said: Said) -> int:
+def next_epoch(folder: Path, files: Files, log_lines: LogLines) -> int:
     """A number for this process above those of all before it in this folder, on the disk; OSError."""
     path, now = folder / "born", int(time.time() * 1000)
     try:
-        before = int(record.read(path, files) or 0)
+        previous = int(record.read(path, files) or 0)
     except (record.RecordError, ValueError) as error:
         # The clock alone tells then: a clock that was put back shows as a process that all others turn down.
-        said.append(("agree_disk", {"reason": str(error)}))
-        before = 0
-    found = max(before + 1, now)
+        log_lines.append(("agree_disk", {"reason": str(error)}))
+        previous = 0
+    found = max(previous + 1, now)
     record.write(path, b"%d" % found, files)
     return found
 
 
-class Seat:
+class Participant:
     """`clock`: seconds that go on through sleep; `post`: takes what is to be sent and logged, from any thread."""
 
     def __init__(
         self,
         name: str,
-        first: Charter,
+        first: ConfigVersion,
         lease: float,
         folder: Path,
         clock: Callable[[], float],
-        post: Callable[[Out, Said], None],
+        post: Callable[[Outgoing, LogLines], None],
         files: Files = DISK,
     ) -> None:
         self.name, self.lease, self.folder, self.clock, self.post = name, lease, folder, clock, post
         self.files, self.first = files, first
-        self.holder = Holder(name, lease, first, first, clock(), 0)
-        self.member: Member | None = None
-        self.out_of_it = ""  # why this process is no member though the council names it
-        self.lock: int | None = None
-        self.work = queue.Queue[Callable[[float], Out]](WAITING)
-        self.refused = ""  # why what was proposed last was not put to the vote
-        self.seen: tuple[str, int, bool] = ("", 0, False)  # of the member: why it votes no more, newest, in force?
-
-    def begin(self) -> bool:
+        self.holder = LeaseHolder(name, lease, first, first, clock(), 0)
+        self.voter: Voter | None = None
+        self.halt_reason = ""  # why this process is no member though the council names it
+        self.lock_fd: int | None = None
+        self.tasks = queue.Queue[Callable[[float], Outgoing]](MAX_QUEUED)
+        self.rejection = ""  # why what was proposed last was not put to the vote
+        # of the member: why it votes no more, newest, in force?
+        self.voter_status: tuple[str, int, bool] = ("", 0, False)
+
+    def start(self) -> bool:
         """Take the folder; False if another process has it still."""
-        self.lock = record.lock(self.folder)
-        if self.lock is None:
+        self.lock_fd = record.lock(self.folder)
+        if self.lock_fd is None:
             return False
-        said: Said = []
+        log_lines: LogLines = []
         try:
-            number = born(self.folder, self.files, said)
+            number = next_epoch(self.folder, self.files, log_lines)
         except OSError as error:
-            self._out(f"the disk failed: {error.strerror or error}")
+            self._halt(f"the disk failed: {error.strerror or error}")
             number = int(time.time() * 1000)
-        self.holder.ask = number * 1000  # who asks less than a thousand times a second stays below the next process
-        self.post([], said)
-        if kept := self._kept():
-            self._serve(Member(self.name, number, self.lease, kept, self.clock(), self._save, random.Random()))
-            if kept.newest.number > self.holder.newest.number:
-                self.holder.restore(kept.newest, kept.before)
+        # who asks less than a thousand times a second stays below the next process
+        self.holder.request_id = number * 1000
+        self.post([], log_lines)
+        if state := self._load_state():
+            self._start_voter(Voter(self.name, number, self.lease, state, self.clock(), self._save, random.Random()))
+            if state.newest.number > self.holder.newest.number:
+                self.holder.restore(state.newest, state.previous)
         return True
 
-    def _serve(self, member: Member) -> None:
+    def _start_voter(self, voter: Voter) -> None:
         """Be a member from now on."""
-        self.member = member
+        self.voter = voter
         # A daemon thread: a disk that hangs must not keep the process from its end.
-        threading.Thread(target=self._run, args=(member,), name="council", daemon=True).start()
+        threading.Thread(target=self._run, args=(voter,), name="council", daemon=True).start()
 
-    def _kept(self) -> Kept | None:
+    def _load_state(self) -> PersistedState | None:
         """The member's record; none for who is no member, or has one that can't be trusted."""
-        if self.out_of_it:
+        if self.halt_reason:
             return None
         try:
             body = record.read(self.folder / "council", self.files)
             if body is not None:
-                return read_kept(body)
+                return decode_state(body)
         except (record.RecordError, ValueError, TypeError) as error:
-            self._out(f"its record can't be trusted: {error}")
+            self._halt(f"its record can't be trusted: {error}")
             return None
-        return Kept(self.first, self.first) if self.name in self.first.council else None
+        return PersistedState(self.first, self.first) if self.name in self.first.voters else None
 
-    def _out(self, why: str) -> None:
-        self.out_of_it = why
-        self.post([], [("council_out", {"reason": why})])
+    def _halt(self, reason: str) -> None:
+        self.halt_reason = reason
+        self.post([], [("council_out", {"reason": reason})])
 
     def _save(self, body: bytes) -> None:
         record.write(self.folder / "council", body, self.files)
@@ -117,108 +119,108 @@
 
     def tick(self) -> None:
         """Time has passed."""
-        if self.lock is None:
+        if self.lock_fd is None:
             return
         self.post(self.holder.tick(self.clock()), [])
-        if self.member:
-            self._do(self.member.tick)
-        elif not self.out_of_it and self.name in self.holder.newest.council:
+        if self.voter:
+            self._enqueue(self.voter.tick)
+        elif not self.halt_reason and self.name in self.holder.newest.voters:
             # It has become a member: all that it has to know is the charter that says so.
-            self._serve(
-                Member(
+            self._start_voter(
+                Voter(
                     self.name,
-                    self.holder.ask // 1000,
+                    self.holder.request_id // 1000,
                     self.lease,
-                    Kept(self.holder.newest, self.holder.before),
+                    PersistedState(self.holder.newest, self.holder.previous),
                     self.clock(),
                     self._save,
                     random.Random(),
                 )
             )
 
-    def received(self, note: Note) -> None:
+    def on_message(self, message: Message) -> None:
         """A note that may be believed."""
-        if self.lock is None:
+        if self.lock_fd is None:
             return
-        if note.kind in FOR_HOLDER:
-            self.post(self.holder.received(self.clock(), note), [])
-        if self.member and note.kind != Kind.GRANT:
-            member = self.member
-            self._do(lambda now: member.received(now, note))
+        if message.kind in HOLDER_KINDS:
+            self.post(self.holder.on_message(self.clock(), message), [])
+        if self.voter and message.kind != Kind.LEASE_GRANT:
+            voter = self.voter
+            self._enqueue(lambda now: voter.on_message(now, message))
 
     def propose(self, body: bytes) -> str:
         """Put a change to the vote: JSON with `rules` (values by name), `council` or `agents` (all their names).
 
         Why not, or empty; what becomes of it shows in `table`.
         """
-        member, (out_of_it, newest, in_force) = self.member, self.seen
-        if member is None:
-            return f"not a member of the council: ask one of {', '.join(self.holder.newest.council)}"
+        voter, (halt_reason, newest, in_force) = self.voter, self.voter_status
+        if voter is None:
+            return f"not a member of the council: ask one of {', '.join(self.holder.newest.voters)}"
         try:
-            asked = orjson.loads(body)
-            if not isinstance(asked, dict) or not asked or asked.keys() - {"rules", "council", "agents"}:
+            request = orjson.loads(body)
+            if not isinstance(request, dict) or not request or request.keys() - {"rules", "council", "agents"}:
                 return "not an object with rules, council or agents"
-            charter = self.holder.newest.altered(
-                dict(asked.get("rules", {})), list(asked.get("council", ())), list(asked.get("agents", ()))
+            version = self.holder.newest.successor(
+                dict(request.get("rules", {})), list(request.get("council", ())), list(request.get("agents", ()))
             )
-        except (CharterError, TypeError, ValueError) as error:
+        except (VersionError, TypeError, ValueError) as error:
             return str(error)
-        if why := charter.follows(self.holder.newest) or out_of_it:
-            return why
-        if charter.same_content(self.holder.newest):
+        if reason := version.succession_error(self.holder.newest) or halt_reason:
+            return reason
+        if version.same_content(self.holder.newest):
             return ""  # a call that was repeated because its answer was lost: chosen already
         if not in_force:
             return f"charter {newest} is not in force yet"
-        self.refused = ""
+        self.rejection = ""
 
-        def propose(now: float) -> Out:
-            self.refused, out = member.propose(now, charter)
+        def propose(now: float) -> Outgoing:
+            self.rejection, out = voter.propose(now, version)
             return out
 
-        self._do(propose)
+        self._enqueue(propose)
         return ""
 
-    def _do(self, step: Callable[[float], Out]) -> None:
+    def _enqueue(self, step: Callable[[float], Outgoing]) -> None:
         """Have the member's thread do something, in order."""
         with contextlib.suppress(queue.Full):
-            self.work.put_nowait(step)
+            self.tasks.put_nowait(step)
 
-    def _run(self, member: Member) -> None:
+    def _run(self, voter: Voter) -> None:
         """The member's thread: the only one that touches it. The clock is read as each thing is come to."""
         while True:
-            step = self.work.get()
+            step = self.tasks.get()
             try:
                 out = step(self.clock())
             except Exception as error:  # must end neither the votes nor the calls
                 out = []
-                member.said.append(("fault", {"where": "council", "error": repr(error)}))
-            said, member.said = member.said, []
-            self.seen = member.out_of_it, member.newest.number, member.in_force()
-            if out or said:
-                self.post(out, said)
+                voter.log_lines.append(("fault", {"where": "council", "error": repr(error)}))
+            log_lines, voter.log_lines = voter.log_lines, []
+            self.voter_status = voter.halt_reason, voter.newest.number, voter.in_force()
+            if out or log_lines:
+                self.post(out, log_lines)
 
-    def table(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """What is acted on and what the council does, as `/admin/agree` shows them."""
         now, holder = self.clock(), self.holder
-        out_of_it, newest, in_force = self.seen
+        halt_reason, newest, in_force = self.voter_status
         return {
             "name": self.name,
-            "stance": holder.stance(now).value,
+            "stance": holder.lease_state(now).value,
             "charter": holder.newest.number,
             "digest": holder.newest.digest,
-            "council": holder.newest.council,
+            "council": holder.newest.voters,
             "agents": len(holder.newest.agents),
-            "lease_left": round(max(0.0, holder.until - now), 3),
+            "lease_left": round(max(0.0, holder.expires_at - now), 3),
             "acts_on": holder.values(now),
             "member": None
-            if self.member is None
-            else {"newest": newest, "in_force": in_force, "refused": self.refused},
-            "out": self.out_of_it or out_of_it,
-            "waits_for_the_folder": self.lock is None,
+            if self.voter is None
+            else {"newest": newest, "in_force": in_force, "refused": self.rejection},
+            "out": self.halt_reason or halt_reason,
+            "waits_for_the_folder": self.lock_fd is None,
         }
 
     def close(self) -> None:
         """Let go of the folder."""
-        if self.lock is not None:
-            os.close(self.lock)
-            self.lock = None
+        if self.lock_fd is not None:
+            os.close(self.lock_fd)
+            self.lock_fd = None
--- a/seamlb/agree/table.py
+++ b/seamlb/agree/table.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from seamlb.agree.acting import misnamed
-from seamlb.agree.charter import Charter, Field
+from seamlb.agree.acting import kind_error
+from seamlb.agree.charter import ConfigVersion, Rule
 
-LEASE = 0.5  # part of `within` that a lease lasts: the other half is for votes and words that are lost
-LEAST, MOST = 1.0, 60.0  # seconds of `within`
+LEASE_SHARE = 0.5  # part of `within` that a lease lasts: the other half is for votes and words that are lost
+MIN_WITHIN, MAX_WITHIN = 1.0, 60.0  # seconds of `within`
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,19 +27,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Agreed:
+class AgreeSettings:
     """The table, read and checked; `first` is the founding charter."""
 
     listen: str
     state: Path
-    first: Charter
-    taken: Mapping[int, bytes]
-    send: int
-    council: Mapping[str, str]  # address by name
+    first: ConfigVersion
+    accepted_keys: Mapping[int, bytes]
+    signing_key: int
+    voter_addresses: Mapping[str, str]  # address by name
     lease: float
 
 
-def founding(path: Path) -> Charter:
+def load_founding_version(path: Path) -> ConfigVersion:
     """The first charter of a TOML file: `council`, `agents` and a table `[rules.NAME]` each; ValueError, OSError."""
     raw = tomllib.loads(path.read_text())
     if unknown := sorted(raw.keys() - {"council", "agents", "rules"}):
@@ -48,28 +48,32 @@
     for name, one in raw.get("rules", {}).items():
         if not isinstance(one, dict) or set(one) != {"kind", "value", "alone"}:
             raise ValueError(f"agree.founding: {path}: rules.{name}: not kind, value and alone")
-        rules[name] = Field(one["kind"], one["value"], one["alone"])
+        rules[name] = Rule(one["kind"], one["value"], one["alone"])
     try:
-        found = Charter(1, "", tuple(raw.get("council", ())), tuple(raw.get("agents", ())), rules)
+        found = ConfigVersion(1, "", tuple(raw.get("council", ())), tuple(raw.get("agents", ())), rules)
     except ValueError as error:
         raise ValueError(f"agree.founding: {path}: {error}") from None
-    if why := misnamed(found):
+    if why := kind_error(found):
         raise ValueError(f"agree.founding: {path}: rules.{why}")
     return found
 
 
-def read(table: AgreeConfig, folder: Path, name: str, taken: Mapping[int, bytes], send: int) -> Agreed:
+def resolve(
+    table: AgreeConfig, folder: Path, name: str, accepted_keys: Mapping[int, bytes], signing_key: int
+) -> AgreeSettings:
     """Check a table; ValueError with the key and the reason."""
-    first = founding(folder / table.founding)
+    first = load_founding_version(folder / table.founding)
     addresses = {one.partition("=")[0]: one.partition("=")[2] for one in table.council}
-    if lost := sorted(set(first.council) - addresses.keys()):
+    if lost := sorted(set(first.voters) - addresses.keys()):
         raise ValueError(f"agree.council: no address of {lost[0]!r}, a member of the founding council")
     if name in addresses and not table.listen:
         raise ValueError("agree.listen: missing, and this agent is or may become a member of the council")
-    if not LEAST <= table.within <= MOST:
-        raise ValueError(f"agree.within: not {LEAST:g} to {MOST:g} seconds: {table.within!r}")
+    if not MIN_WITHIN <= table.within <= MAX_WITHIN:
+        raise ValueError(f"agree.within: not {MIN_WITHIN:g} to {MAX_WITHIN:g} seconds: {table.within!r}")
     if len(name.encode()) > 255:
         raise ValueError("agree: this agent's name is over 255 bytes")
     if not (folder / table.state).is_dir():
         raise ValueError(f"agree.state: no folder {str(folder / table.state)!r}")
-    return Agreed(table.listen, folder / table.state, first, taken, send, addresses, LEASE * table.within)
+    return AgreeSettings(
+        table.listen, folder / table.state, first, accepted_keys, signing_key, addresses, LEASE_SHARE * table.within
+    )
--- a/seamlb/extras.py
+++ b/seamlb/extras.py
@@ -18,7 +18,7 @@
 from seamlb.sip.settings import SipFrontConfig
 
 if TYPE_CHECKING:
-    from seamlb.agree.table import Agreed
+    from seamlb.agree.table import AgreeSettings
     from seamlb.planning.follow import Followed
     from seamlb.plugins.loading import PluginsTable
 
@@ -57,7 +57,7 @@
     members: MembersConfig | None = None
     member_keys: MemberKeys | None = None
     zones: ZonesConfig | None = None
-    agree: Agreed | None = None
+    agree: AgreeSettings | None = None
 
 
 @dataclass(slots=True, frozen=True)
@@ -123,9 +123,9 @@
     return load_keys(folder / table.keys)
 
 
-def _agreed(raw: Mapping[str, Any], folder: Path, config: Config) -> Agreed | None:
+def _agreed(raw: Mapping[str, Any], folder: Path, config: Config) -> AgreeSettings | None:
     """The table with the keys and the founding charter that it names, checked; ValueError."""
-    from seamlb.agree.table import AgreeConfig, read
+    from seamlb.agree.table import AgreeConfig, resolve
 
     if (table := _table(raw, "agree", AgreeConfig)) is None:
         return None
@@ -136,7 +136,7 @@
             except ValueError as error:
                 raise ValueError(f"agree.{key}: {error}") from None
     keys = load_keys(folder / table.keys, "agree")
-    return read(table, folder, config.name, keys.accepted, keys.signing_key)
+    return resolve(table, folder, config.name, keys.accepted, keys.signing_key)
 
 
 def _local(raw: Any, folder: Path) -> PluginsTable:
--- a/seamlb/planning/plan_files.py
+++ b/seamlb/planning/plan_files.py
@@ -161,7 +161,7 @@
 def save_plan(path: str | Path, problem: Problem, plan: Plan) -> None:
     """Write a plan whole or not at all: a reader never sees half of one."""
     try:
-        DISK.put(Path(path), plan_text(problem, plan).encode())
+        DISK.write_atomic(Path(path), plan_text(problem, plan).encode())
     except OSError as error:
         raise PlanningError(f"{path}: {error.strerror}") from None
 
--- a/seamlb/store/files.py
+++ b/seamlb/store/files.py
@@ -26,15 +26,15 @@
         finally:
             os.close(folder)
 
-    def put(self, path: Path, data: bytes) -> None:
+    def write_atomic(self, path: Path, data: bytes) -> None:
         """Replace a file, whole or not at all. OSError: it is not known which of the two is there."""
-        beside = path.with_name(f".{path.name}.{os.getpid()}")
+        temporary = path.with_name(f".{path.name}.{os.getpid()}")
         try:
-            self.write(beside, data)
-            self.replace(beside, path)
+            self.write(temporary, data)
+            self.replace(temporary, path)
         except OSError:
             with contextlib.suppress(OSError):
-                beside.unlink()
+                temporary.unlink()
             raise
 
     def read(self, path: Path) -> bytes:
--- a/seamlb/store/record.py
+++ b/seamlb/store/record.py
@@ -30,7 +30,7 @@
 def write(path: Path, body: bytes, files: Files = DISK) -> None:
     """Replace a record. OSError: it is not known which of the two is there; a torn one never is."""
     digest = blake2b(body, digest_size=16).hexdigest().encode()
-    files.put(path, MAGIC + digest + b" %d\n" % len(body) + body)
+    files.write_atomic(path, MAGIC + digest + b" %d\n" % len(body) + body)
 
 
 def read(path: Path, files: Files = DISK) -> bytes | None:
--- a/seamlb/subsystems/lists.py
+++ b/seamlb/subsystems/lists.py
@@ -32,11 +32,11 @@
 
     def _merged(self, changed: DeskListCallback, board: bool) -> tuple[DeskListCallback, DeskListCallback]:
         # Imported where there are two: the platform's path has one.
-        from seamlb.agree.merged import Merged
+        from seamlb.agree.merged import DeskListMerger
 
-        merged = Merged(("board", "consul"), ("board", "consul") if board else ("consul",), changed)
-        self.begin_list = merged.begin
-        return merged.source("board"), merged.source("consul")
+        merged = DeskListMerger(("board", "consul"), ("board", "consul") if board else ("consul",), changed)
+        self.begin_list = merged.publish_first
+        return merged.callback("board"), merged.callback("consul")
 
     def runs(self) -> list[Coroutine[None, None, None]]:
         """The first list's fetch, where there is one."""
--- a/seamlb/subsystems/versions.py
+++ b/seamlb/subsystems/versions.py
@@ -5,8 +5,8 @@
 from collections.abc import Coroutine, Mapping
 from dataclasses import replace
 
-from seamlb.agree.link import AgreeLink
-from seamlb.agree.table import Agreed
+from seamlb.agree.link import AgreementService
+from seamlb.agree.table import AgreeSettings
 from seamlb.config import Config
 from seamlb.extras import Plugins
 from seamlb.routing.agent import Agent
@@ -18,15 +18,15 @@
 
     TAKES = ("agree",)
 
-    def __init__(self, config: Config, table: Agreed, agent: Agent) -> None:
+    def __init__(self, config: Config, table: AgreeSettings, agent: Agent) -> None:
         self.table = table
-        self.link = AgreeLink(table, config.name, config.zones, agent.refresh)
-        agent.filter_chain.filters.append(self.link.acting)
+        self.link = AgreementService(table, config.name, config.zones, agent.refresh)
+        agent.filter_chain.filters.append(self.link.enforcer)
         agent.refresh()
 
     def tables(self) -> Mapping[str, Table]:
         """What is acted on, for operators."""
-        return {"/admin/agree": self.link.table}
+        return {"/admin/agree": self.link.status}
 
     def orders(self) -> Mapping[str, Order]:
         """Proposals of operators."""
@@ -41,12 +41,16 @@
         new = plugins.agree
         if new is None:
             return ["agree"]
-        return [] if replace(new, taken=self.table.taken, send=self.table.send) == self.table else ["agree"]
+        return (
+            []
+            if replace(new, accepted_keys=self.table.accepted_keys, signing_key=self.table.signing_key) == self.table
+            else ["agree"]
+        )
 
     def reload(self, config: Config, plugins: Plugins) -> None:
         """Take new keys."""
         if plugins.agree:
-            self.link.rotate(plugins.agree.taken, plugins.agree.send)
+            self.link.rotate(plugins.agree.accepted_keys, plugins.agree.signing_key)
 
     async def close(self) -> None:
         """Close the sockets and let go of the folder."""
--- a/tests/agreed.py
+++ b/tests/agreed.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from seamlb.agree.charter import Charter, alone, guarded
-from seamlb.agree.holder import Stance
-from seamlb.agree.relations import KINDS
-from seamlb.agree.table import founding
+from seamlb.agree.charter import ConfigVersion, fallback_values, transition_values
+from seamlb.agree.holder import LeaseState
+from seamlb.agree.relations import RELATIONS
+from seamlb.agree.table import load_founding_version
 from tests.fleet import GOOD_COMMAND, ROOT, own_host
 from tests.injector import Injector
 from tests.loopback import HANG_TIMEOUT
@@ -48,44 +48,50 @@
 class Auditor:
     """Seconds in which an agent acted beyond a charter that another acted on as in force."""
 
-    def __init__(self, first: Charter) -> None:
-        self.charters = {first.digest: first}
+    def __init__(self, first: ConfigVersion) -> None:
+        self.versions = {first.digest: first}
         self.chosen: dict[int, set[str]] = {}
-        self.acts: dict[str, list[tuple[float, float, Charter, Stance]]] = {}  # from, to
+        self.spans: dict[str, list[tuple[float, float, ConfigVersion, LeaseState]]] = {}  # from, to
 
-    def follow(self, charter: Charter) -> None:
+    def add_version(self, version: ConfigVersion) -> None:
         """A charter that may come to be."""
-        self.charters[charter.digest] = charter
+        self.versions[version.digest] = version
 
-    def read(self, name: str, lines: list[dict[str, Any]], end: float) -> None:
+    def add_log(self, name: str, lines: list[dict[str, Any]], end: float) -> None:
         """The lines of one process, which ended at a time or still acts then."""
         since = [float(one["since"]) for one in lines] + [end]
-        for place, one in enumerate(lines):
-            charter = self.charters[one["digest"]]
-            self.chosen.setdefault(charter.number, set()).add(charter.digest)
-            self.acts.setdefault(name, []).append((since[place], since[place + 1], charter, Stance(one["stance"])))
-
-    def _values(self, charter: Charter, stance: Stance) -> Mapping[str, Any]:
-        before = self.charters.get(charter.before)
-        if stance is Stance.GUARD and before:
-            return guarded(before, charter)
-        return alone(charter) if stance is Stance.ALONE else {n: one.value for n, one in charter.fields.items()}
+        for i, one in enumerate(lines):
+            version = self.versions[one["digest"]]
+            self.chosen.setdefault(version.number, set()).add(version.digest)
+            self.spans.setdefault(name, []).append((since[i], since[i + 1], version, LeaseState(one["stance"])))
+
+    def _values(self, version: ConfigVersion, state: LeaseState) -> Mapping[str, Any]:
+        previous = self.versions.get(version.previous_digest)
+        if state is LeaseState.TRANSITION and previous:
+            return transition_values(previous, version)
+        return (
+            fallback_values(version)
+            if state is LeaseState.FALLBACK
+            else {n: r.value for n, r in version.rules.items()}
+        )
 
     def contradiction(self) -> float:
         """Seconds, summed over pairs of agents."""
         total = 0.0
-        plain = [(who, *one[:3]) for who, acts in self.acts.items() for one in acts if one[3] is Stance.PLAIN]
-        for name, acts in self.acts.items():
-            for start, end, charter, stance in acts:
-                values = self._values(charter, stance)
+        plain = [
+            (who, *one[:3]) for who, spans in self.spans.items() for one in spans if one[3] is LeaseState.IN_FORCE
+        ]
+        for name, spans in self.spans.items():
+            for start, end, version, state in spans:
+                values = self._values(version, state)
                 for who, other_start, other_end, other in plain:
                     both = min(end, other_end) - max(start, other_start)
                     if (
                         who != name
                         and both > 0.0
                         and any(
-                            not KINDS[rule.kind].keeps(name, values[field], rule.value)
-                            for field, rule in other.fields.items()
+                            not RELATIONS[rule.kind].complies(name, values[field], rule.value)
+                            for field, rule in other.rules.items()
                         )
                     ):
                         total += both
@@ -95,38 +101,38 @@
 class Site:
     """Agents a0 to a4, of which the first three are the council; `injectors` by who dials whom."""
 
-    def __init__(self, folder: Path, size: int = 5, council: int = 3) -> None:
+    def __init__(self, folder: Path, size: int = 5, voters: int = 3) -> None:
         self.folder, self.names = folder, [f"a{n}" for n in range(size)]
-        self.members = self.names[:council]
-        self.may = self.names[: council + 1]  # become members
+        self.voters = self.names[:voters]
+        self.possible_voters = self.names[: voters + 1]  # become members
         self.hosts = {name: own_host() for name in self.names}
         self.injectors: dict[tuple[str, str], Injector] = {}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.starts: dict[str, int] = {}
         self.ends: dict[tuple[str, int], float] = {}  # process: when it was killed
 
-    async def start(self, *, ways: Mapping[str, tuple[str, ...]] | None = None) -> None:
+    async def start(self, *, commands: Mapping[str, tuple[str, ...]] | None = None) -> None:
         (self.folder / "founding.toml").write_text(
-            f"council = {json.dumps(self.members)}\nagents = {json.dumps(self.names)}\n{RULES}"
+            f"council = {json.dumps(self.voters)}\nagents = {json.dumps(self.names)}\n{RULES}"
         )
-        self.auditor = Auditor(first := founding(self.folder / "founding.toml"))
+        self.auditor = Auditor(first := load_founding_version(self.folder / "founding.toml"))
         self.newest = first
         (self.folder / "keys").write_text(f'send = 1\n[keys]\n1 = "{"11" * 32}"\n')
         (self.folder / "keys").chmod(0o600)
-        members = [
+        desks = [
             {"id": f"d{n}", "host_port": "127.0.0.1:9", "cell": n, "phase": "Ready", "up_since_ms": 0}
             for n in range(2)
         ]
-        known = {"rev": 1, "notices": [{"rev": 1, "pool": {"complete": True, "members": members}}]}
+        known = {"rev": 1, "notices": [{"rev": 1, "pool": {"complete": True, "members": desks}}]}
         for name in self.names:
-            council = []
-            for member in self.may:
-                self.injectors[name, member] = injector = Injector(f"{self.hosts[member]}:7100")
-                council.append(f"{member}={await injector.start()}")
+            voters = []
+            for voter in self.possible_voters:
+                self.injectors[name, voter] = injector = Injector(f"{self.hosts[voter]}:7100")
+                voters.append(f"{voter}={await injector.start()}")
             (self.folder / name).mkdir()
             (self.folder / f"{name}.toml").write_text(
                 f'[agree]\nlisten = "{self.hosts[name]}:7100"\nfounding = "founding.toml"\nstate = "{name}"\n'
-                f'keys = "keys"\ncouncil = {json.dumps(council)}\nwithin = {WITHIN}\n'
+                f'keys = "keys"\ncouncil = {json.dumps(voters)}\nwithin = {WITHIN}\n'
             )
             (self.folder / f"{name}.json").write_text(
                 json.dumps(
@@ -140,9 +146,9 @@
                 )
             )
         for name in self.names:
-            await self.begin(name, (ways or {}).get(name, GOOD_COMMAND))
+            await self.start_agent(name, (commands or {}).get(name, GOOD_COMMAND))
 
-    async def begin(self, name: str, command: tuple[str, ...] = GOOD_COMMAND) -> None:
+    async def start_agent(self, name: str, command: tuple[str, ...] = GOOD_COMMAND) -> None:
         """Start a process for an agent."""
         self.starts[name] = self.starts.get(name, -1) + 1
         with open(self.folder / f"{name}.{self.starts[name]}.log", "wb") as out:
@@ -163,57 +169,59 @@
         await self.processes[name].wait()
         self.ends[name, self.starts[name]] = boottime()
 
-    def cut(self, names: set[str], mode: str = "drop") -> None:
+    def isolate(self, names: set[str], mode: str = "drop") -> None:
         """Whoever is among these hears nobody else, and nobody else hears them."""
         for (one, other), injector in self.injectors.items():
             injector.mode = mode if (one in names) != (other in names) else "pass"
 
-    async def ask(self, name: str, path: str = "/admin/agree", body: str = "") -> dict[str, Any]:
+    async def admin(self, name: str, path: str = "/admin/agree", body: str = "") -> dict[str, Any]:
         """A call of the management address, {} if nobody answers."""
         method = "POST" if body else "GET"
         try:
             reader, writer = await asyncio.open_connection(self.hosts[name], 7001)
             writer.write(f"{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
-            told = await asyncio.wait_for(reader.read(), 2.0)
+            reply = await asyncio.wait_for(reader.read(), 2.0)
             writer.close()
-            return dict(json.loads(told.partition(b"\r\n\r\n")[2]))
+            return dict(json.loads(reply.partition(b"\r\n\r\n")[2]))
         except (OSError, ValueError, TimeoutError):
             return {}
 
-    async def propose(self, name: str, council: tuple[str, ...] = (), **values: Any) -> Charter:
+    async def propose(self, name: str, voters: tuple[str, ...] = (), **values: Any) -> ConfigVersion:
         """Have a member put rules to the vote until they are; `values` by rule, `tenant_t` for tenant.t."""
         rules = {key.replace("_", "."): value for key, value in values.items()}
-        charter = self.newest.altered(rules, council)
-        self.auditor.follow(charter)
+        version = self.newest.successor(rules, voters)
+        self.auditor.add_version(version)
         async with asyncio.timeout(3 * HANG_TIMEOUT):
             while True:
-                told = await self.ask(name, "/admin/agree/propose", json.dumps({"rules": rules, "council": council}))
-                if told.get("error") == "":
+                reply = await self.admin(
+                    name, "/admin/agree/propose", json.dumps({"rules": rules, "council": voters})
+                )
+                if reply.get("error") == "":
                     break
-                if "error" not in told and told:
+                if "error" not in reply and reply:
                     await asyncio.sleep(0.3)
-                    if (await self.ask(name)).get("charter", 0) >= charter.number:
+                    if (await self.admin(name)).get("charter", 0) >= version.number:
                         break
                 await asyncio.sleep(0.1)
-        self.newest = charter
-        return charter
+        self.newest = version
+        return version
 
-    async def acts(self, name: str) -> tuple[int, str]:
+    async def acting_on(self, name: str) -> tuple[int, str]:
         """Charter and stance of an agent."""
-        told = await self.ask(name)
-        return int(told.get("charter", 0)), str(told.get("stance", ""))
+        reply = await self.admin(name)
+        return int(reply.get("charter", 0)), str(reply.get("stance", ""))
 
-    async def all_act(self, number: int, *but: str, stance: str = "in force") -> None:
+    async def wait_for_all(self, number: int, *but: str, state: str = "in force") -> None:
         async def they_do() -> bool:
-            return all([await self.acts(one) == (number, stance) for one in self.names if one not in but])
+            return all([await self.acting_on(one) == (number, state) for one in self.names if one not in but])
 
         try:
-            await self.until(they_do)
+            await self.wait_until(they_do)
         except TimeoutError:
-            tables = [json.dumps(await self.ask(one)) for one in self.names]
-            raise AssertionError(f"not all act on {number} {stance}:\n" + "\n".join(tables)) from None
+            tables = [json.dumps(await self.admin(one)) for one in self.names]
+            raise AssertionError(f"not all act on {number} {state}:\n" + "\n".join(tables)) from None
 
-    async def until(self, true: Callable[[], Any], within: float = 3 * HANG_TIMEOUT) -> None:
+    async def wait_until(self, true: Callable[[], Any], within: float = 3 * HANG_TIMEOUT) -> None:
         async with asyncio.timeout(within):
             while not await true():
                 await asyncio.sleep(0.05)
@@ -228,7 +236,7 @@
         now = boottime()
         for name, count in self.starts.items():
             for start in range(count + 1):
-                self.auditor.read(name, self.lines(name, "agree_acts", start), self.ends.get((name, start), now))
+                self.auditor.add_log(name, self.lines(name, "agree_acts", start), self.ends.get((name, start), now))
         assert all(len(one) == 1 for one in self.auditor.chosen.values())
         return self.auditor.contradiction()
 
--- a/tests/lying.py
+++ b/tests/lying.py
@@ -6,25 +6,25 @@
 from seamlb.store.files import Files
 
 
-class LyingFiles(Files):
+class FaultyFiles(Files):
     """`fails`: the call ("write", "fsync", "replace", "read") that fails with `code`; `torn`: bytes that arrive."""
 
-    def __init__(self, fails: str = "", code: int = errno.EIO, torn: int | None = None) -> None:
-        self.fails, self.code, self.torn = fails, code, torn
+    def __init__(self, failing_call: str = "", code: int = errno.EIO, torn: int | None = None) -> None:
+        self.failing_call, self.code, self.torn = failing_call, code, torn
 
-    def _may(self, call: str) -> None:
-        if call == self.fails:
+    def _raise_if_failing(self, call: str) -> None:
+        if call == self.failing_call:
             raise OSError(self.code, errno.errorcode[self.code])
 
     def write(self, path: Path, data: bytes) -> None:
-        self._may("write")
+        self._raise_if_failing("write")
         super().write(path, data if self.torn is None else data[: self.torn])
-        self._may("fsync")
+        self._raise_if_failing("fsync")
 
     def replace(self, new: Path, path: Path) -> None:
-        self._may("replace")
+        self._raise_if_failing("replace")
         super().replace(new, path)
 
     def read(self, path: Path) -> bytes:
-        self._may("read")
+        self._raise_if_failing("read")
         return super().read(path)
--- a/tests/test_acting.py
+++ b/tests/test_acting.py
@@ -5,19 +5,19 @@
 
 import pytest
 
-from seamlb.agree.frames import LONGEST, Codec, FrameError, Reader
-from seamlb.agree.notes import Kind, Note
+from seamlb.agree.frames import MAX_FRAME_BYTES, Codec, FrameError, FrameReader
+from seamlb.agree.notes import Kind, Message
 from seamlb.api import Availability
 from seamlb.routing.model import Desk
 from seamlb.routing.seam import InputFilter, InputFilterChain
-from tests.agents import FOUNDING, KEYS, acting, desk, lend
+from tests.agents import FOUNDING, KEYS, desk, grant_lease, make_enforcer
 from tests.support import settings
 
 
 @pytest.mark.parametrize(("tenants", "agents"), [(1, 1), (3, 5), (40, 200)])
 def test_an_agent_takes_its_part_and_alone_what_every_charter_leaves_it(tenants: int, agents: int) -> None:
     now = [1.0]
-    found = acting(now, tenants, max(agents, 2))
+    found = make_enforcer(now, tenants, max(agents, 2))
     base = settings(
         Instances=max(agents, 2),
         Tenants=[{"Name": f"t{n}", "AllowancePerS": 3.0} for n in range(tenants)]
@@ -26,21 +26,21 @@
     assert found.refresh() and not found.refresh()  # alone
     assert found.max_open == 5
     assert found.filter_settings(base).allowances == pytest.approx((1.0,) * tenants + (7.0,))
-    lend(found, 3.0)
+    grant_lease(found, 3.0)
     assert found.refresh() and not found.refresh()
     assert found.max_open == 50
     assert found.filter_settings(base).allowances == pytest.approx((8.0,) * tenants + (7.0,))
     now[0] = 3.0  # the lease ends at this moment, whether or not anybody has renewed it
     assert found.refresh()
     assert found.max_open == 5
-    assert [one[2] for one in found.news][-1] == 3.0
+    assert [one[2] for one in found.state_changes][-1] == 3.0
 
 
 def test_desks_and_zones_that_are_held_drain_for_the_module_and_come_back() -> None:
     now = [1.0]
-    found = acting(now)
+    found = make_enforcer(now)
     desks = [desk("d1"), desk("d2"), desk("d3"), desk("d4", 1), desk("d5", 0, Availability.DRAINING)]
-    lend(found, 9.0)
+    grant_lease(found, 9.0)
     found.refresh()
 
     def states(seen: Iterable[Desk]) -> dict[str, int]:
@@ -61,8 +61,8 @@
     assert found.changed_desks(0.0, 0.0) == []
     gone = desk("d1", 0, Availability.GONE)
     assert states(found.filter_desks(0.0, 0.0, [gone], False)) == {"d1": Availability.GONE}
-    assert "d1" not in found.told
-    assert found.filter_desks(0.0, 0.0, [], True) == [] and not found.told
+    assert "d1" not in found.listed_desks
+    assert found.filter_desks(0.0, 0.0, [], True) == [] and not found.listed_desks
 
 
 class Holding(InputFilter):
@@ -95,23 +95,28 @@
 def test_a_frame_survives_cuts_at_any_byte_and_a_changed_byte_is_never_believed() -> None:
     rng = random.Random(5)
     sender, reader = Codec("a0", FOUNDING, KEYS, 2), Codec("a1", FOUNDING, KEYS, 1)
-    notes = [Note(Kind.ASK, "a0", slot=n, ask=n, body=b'{"a":"' + b"x" * n * 100 + b'"}') for n in range(1, 4)]
-    data = b"".join(sender.encode("a1", one) for one in notes)
+    messages = [
+        Message(Kind.LEASE_REQUEST, "a0", slot=n, request_id=n, body=b'{"a":"' + b"x" * n * 100 + b'"}')
+        for n in range(1, 4)
+    ]
+    data = b"".join(sender.encode("a1", one) for one in messages)
     for _ in range(50):
         cuts = sorted(rng.sample(range(len(data)), 5))
-        stream = Reader(reader)
+        stream = FrameReader(reader)
         pieces = [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True)]
-        assert [note for piece in pieces for note in stream.feed(piece)] == notes
-    for at in range(4, len(sender.encode("a1", notes[0]))):
-        one = bytearray(sender.encode("a1", notes[0]))
+        assert [message for piece in pieces for message in stream.feed(piece)] == messages
+    for at in range(4, len(sender.encode("a1", messages[0]))):
+        one = bytearray(sender.encode("a1", messages[0]))
         one[at] ^= 1
-        assert list(Reader(reader).feed(bytes(one))) == []
+        assert list(FrameReader(reader).feed(bytes(one))) == []
     for other, reason in (
         (Codec("a0", FOUNDING, {9: b"m" * 32}, 9), "wrong signature"),
         (Codec("a0", "cd" * 16, KEYS, 1), "another founding charter"),
     ):
         reader.dropped.clear()
-        assert list(Reader(reader).feed(other.encode("a1", notes[0]))) == [] and reader.dropped[reason] == 1
-    assert list(Reader(reader).feed(sender.encode("a2", notes[0]))) == [] and reader.dropped["not for us"] == 1
+        assert list(FrameReader(reader).feed(other.encode("a1", messages[0]))) == [] and reader.dropped[reason] == 1
+    assert (
+        list(FrameReader(reader).feed(sender.encode("a2", messages[0]))) == [] and reader.dropped["not for us"] == 1
+    )
     with pytest.raises(FrameError):
-        list(Reader(reader).feed((LONGEST + 1).to_bytes(4) + b"\1"))
+        list(FrameReader(reader).feed((MAX_FRAME_BYTES + 1).to_bytes(4) + b"\1"))
--- a/tests/test_agree_bugs.py
+++ b/tests/test_agree_bugs.py
@@ -8,74 +8,83 @@
 
 import pytest
 
-from seamlb.agree.council import Member, Vote
-from seamlb.agree.holder import Holder
-from seamlb.agree.notes import Kind, Note
-from tests.council import LEASE, World, changed
-from tests.faults import faults, newest
+from seamlb.agree.council import Proposal, Voter
+from seamlb.agree.holder import LeaseHolder
+from seamlb.agree.notes import Kind, Message
+from tests.council import LEASE, World, random_successor
+from tests.faults import inject_faults, newest_version
 
 Bug = Callable[[], AbstractContextManager[Any]]
 
 
 def in_force_by_its_own_word() -> AbstractContextManager[Any]:  # A2
-    return mock.patch.object(Member, "in_force", lambda self: self.cleared.get(self.name, 0) >= self.newest.number)
+    return mock.patch.object(Voter, "in_force", lambda self: self.cleared.get(self.name, 0) >= self.newest.number)
 
 
 def a_restart_is_not_quiet() -> AbstractContextManager[Any]:  # A3
-    start = Member.__init__
+    start = Voter.__init__
 
-    def begin(self: Member, *args: Any) -> None:
+    def begin(self: Voter, *args: Any) -> None:
         start(self, *args)
-        self.quiet_until = 0.0
+        self.inactive_until = 0.0
 
-    return mock.patch.object(Member, "__init__", begin)
+    return mock.patch.object(Voter, "__init__", begin)
 
 
 def lends_on_what_is_old() -> AbstractContextManager[Any]:  # A4
-    def lend(self: Member, now: float, note: Note) -> list[tuple[str, Note]]:
-        return [(note.sender, self._note(Kind.GRANT, slot=note.slot, ask=note.ask, cleared=note.slot))]
+    def lend(self: Voter, now: float, message: Message) -> list[tuple[str, Message]]:
+        return [
+            (
+                message.sender,
+                self._message(
+                    Kind.LEASE_GRANT, slot=message.slot, request_id=message.request_id, cleared=message.slot
+                ),
+            )
+        ]
 
-    return mock.patch.object(Member, "_lend", lend)
+    return mock.patch.object(Voter, "_grant_lease", lend)
 
 
 def counts_the_lease_from_the_answer() -> AbstractContextManager[Any]:  # A7
-    received = Holder.received
+    on_message = LeaseHolder.on_message
 
-    def late(self: Holder, now: float, note: Note) -> list[tuple[str, Note]]:
+    def late(self: LeaseHolder, now: float, message: Message) -> list[tuple[str, Message]]:
         for request in self.requests.values():
             request.sent_at = now + LEASE * 0.5
-        return received(self, now, note)
+        return on_message(self, now, message)
 
-    return mock.patch.object(Holder, "received", late)
+    return mock.patch.object(LeaseHolder, "on_message", late)
 
 
 def acts_on_after_its_lease() -> AbstractContextManager[Any]:  # A8
-    stance = Holder.stance
-    return mock.patch.object(Holder, "stance", lambda self, now: stance(self, min(now, self.until - 0.01)))
+    lease_state = LeaseHolder.lease_state
+    return mock.patch.object(
+        LeaseHolder, "lease_state", lambda self, now: lease_state(self, min(now, self.expires_at - 0.01))
+    )
 
 
 def runs(seeds: int) -> Iterator[World]:
     for seed in range(seeds):
         world, rng = World(seed, 5, 3, loss=0.1), random.Random(seed)
-        faults(world, rng, 30.0)
+        inject_faults(world, rng, 30.0)
         yield world
 
 
 @pytest.mark.parametrize("bug", [lends_on_what_is_old, counts_the_lease_from_the_answer, acts_on_after_its_lease])
 def test_a_seeded_bug_is_caught(bug: Bug) -> None:
     with bug():
-        assert any(world.broken for world in runs(60))
+        assert any(world.violations for world in runs(60))
 
 
 def one_lent_to_by_two(restarts: bool) -> World:
     """An agent lent to by two members is cut off, the third brings something new, and one of the two restarts."""
     world = World(7, 5, 3)
-    world.cut = lambda a, b: {a, b} == {"a002", "a004"}
+    world.is_cut = lambda a, b: {a, b} == {"a002", "a004"}
     world.run(3 * LEASE)
-    world.cut = lambda a, b: "a004" in (a, b) and a != b
-    assert world.propose("a002", newest(world).next(limit=20)) == ""
+    world.is_cut = lambda a, b: "a004" in (a, b) and a != b
+    assert world.propose("a002", newest_version(world).with_values(limit=20)) == ""
     world.run(0.3)
-    assert newest(world).number == 2
+    assert newest_version(world).number == 2
     if restarts:
         world.crash("a001")
         world.restart("a001")
@@ -86,9 +95,9 @@
 @pytest.mark.parametrize(("bug", "restarts"), [(in_force_by_its_own_word, False), (a_restart_is_not_quiet, True)])
 def test_a_seeded_bug_of_leases_is_caught(bug: Bug, restarts: bool) -> None:
     world = one_lent_to_by_two(restarts)
-    assert not world.broken and world.in_force(2) == 4
+    assert not world.violations and world.count_in_force(2) == 4
     with bug():
-        assert one_lent_to_by_two(restarts).broken
+        assert one_lent_to_by_two(restarts).violations
 
 
 def test_a_member_whose_disk_went_back_is_fenced_and_votes_no_second_time() -> None:
@@ -96,34 +105,34 @@
     world = World(3, 3, 3)
     world.run(3 * LEASE)
     back = world.nodes["a001"].disk
-    world.cut = lambda a, b: "a002" in (a, b) and a != b
-    assert world.propose("a000", changed(newest(world), random.Random(1))) == ""
+    world.is_cut = lambda a, b: "a002" in (a, b) and a != b
+    assert world.propose("a000", random_successor(newest_version(world), random.Random(1))) == ""
     world.run(4 * LEASE)
-    assert newest(world).number == 2
+    assert newest_version(world).number == 2
     world.crash("a001")
     world.nodes["a001"].disk = back
-    world.cut = lambda a, b: False
+    world.is_cut = lambda a, b: False
     world.restart("a001")
     world.run(4 * LEASE)
-    liar = world.nodes["a001"].member
-    assert liar is not None and "the disk has gone back" in liar.out_of_it
-    assert not world.broken and world.in_force(2) == 3
+    liar = world.nodes["a001"].voter
+    assert liar is not None and "the disk has gone back" in liar.halt_reason
+    assert not world.violations and world.count_in_force(2) == 3
 
 
 def test_a_member_whose_disk_fails_tells_nothing_more() -> None:
     world = World(4, 3, 3)
     world.run(3 * LEASE)
-    sick = world.nodes["a001"].member
+    sick = world.nodes["a001"].voter
     assert sick is not None
 
     def fail(body: bytes) -> None:
         raise OSError(5, "Input/output error")
 
     sick.save = fail
-    assert world.propose("a000", newest(world).next(limit=20)) == ""
+    assert world.propose("a000", newest_version(world).with_values(limit=20)) == ""
     world.run(3 * LEASE)
-    assert sick.out_of_it == "the disk failed: Input/output error" and sick.newest.number == 1
-    assert newest(world).number == 2 and world.in_force(2) >= 2 and not world.broken
+    assert sick.halt_reason == "the disk failed: Input/output error" and sick.newest.number == 1
+    assert newest_version(world).number == 2 and world.count_in_force(2) >= 2 and not world.violations
 
 
 def test_two_votes_of_one_slot_never_both_win() -> None:
@@ -131,8 +140,8 @@
         world = World(seed, 3, 3, loss=0.2)
         world.run(3 * LEASE)
         rng = random.Random(seed)
-        for name in world.first.council:
-            world.propose(name, changed(newest(world), rng))
+        for name in world.first.voters:
+            world.propose(name, random_successor(newest_version(world), rng))
         world.run(5 * LEASE)
-        assert not world.broken and newest(world).number == 2
-        assert all(not isinstance(one.member.vote, Vote) for one in world.nodes.values() if one.member)
+        assert not world.violations and newest_version(world).number == 2
+        assert all(not isinstance(one.voter.proposal, Proposal) for one in world.nodes.values() if one.voter)
--- a/tests/test_agree_daemon.py
+++ b/tests/test_agree_daemon.py
@@ -11,7 +11,7 @@
 from tests.fleet import faulty_command, own_host
 
 
-class Agreed(unittest.IsolatedAsyncioTestCase):
+class AgreedSite(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.site = Site(Path(self.enterContext(tempfile.TemporaryDirectory())))
         self.addAsyncCleanup(self.site.stop)
@@ -21,27 +21,27 @@
     ) -> None:
         site = self.site
         await site.start()
-        await site.all_act(1)
+        await site.wait_for_all(1)
         await site.propose("a0", open=7, desks=["d1"])
-        await site.all_act(2)
+        await site.wait_for_all(2)
         for name in site.names:
-            told = await site.ask(name)
-            self.assertEqual((told["acts_on"]["open"], told["acts_on"]["desks"]), (7, ["d1"]))
-            self.assertEqual((await site.ask(name, "/admin/stats"))["out_of_rotation"], 1)
+            reply = await site.admin(name)
+            self.assertEqual((reply["acts_on"]["open"], reply["acts_on"]["desks"]), (7, ["d1"]))
+            self.assertEqual((await site.admin(name, "/admin/stats"))["out_of_rotation"], 1)
 
         await site.kill("a1")  # a member of the council
         site.processes["a4"].send_signal(signal.SIGSTOP)  # and an agent that goes on believing, for all it knows
-        site.cut({"a3"})  # and one that nobody hears
+        site.isolate({"a3"})  # and one that nobody hears
         await site.propose("a2", open=50, owner="a3", desks=[])
-        await site.all_act(3, "a1", "a3", "a4")
-        self.assertEqual(await site.acts("a3"), (2, "alone"))
-        self.assertEqual((await site.ask("a3"))["acts_on"]["owner"], "")
+        await site.wait_for_all(3, "a1", "a3", "a4")
+        self.assertEqual(await site.acting_on("a3"), (2, "alone"))
+        self.assertEqual((await site.admin("a3"))["acts_on"]["owner"], "")
         await site.propose("a0", owner="a2", open=20)
-        await site.all_act(4, "a1", "a3", "a4")
+        await site.wait_for_all(4, "a1", "a3", "a4")
         site.processes["a4"].send_signal(signal.SIGCONT)
-        site.cut(set())
-        await site.begin("a1")
-        await site.all_act(4)
+        site.isolate(set())
+        await site.start_agent("a1")
+        await site.wait_for_all(4)
         self.assertEqual(site.audit(), 0.0)
 
     async def test_without_a_council_calls_are_served_under_what_who_is_alone_may_and_a_council_that_is_back_goes_on(
@@ -49,142 +49,142 @@
     ) -> None:
         site = self.site
         await site.start()
-        await site.all_act(1)
+        await site.wait_for_all(1)
         await site.propose("a1", open=40)
-        await site.all_act(2)
+        await site.wait_for_all(2)
         for name in ("a0", "a2"):
             await site.kill(name)
-        await site.all_act(2, "a0", "a2", stance="alone")
-        self.assertEqual((await site.ask("a3"))["acts_on"]["open"], 5)
-        self.assertEqual((await site.ask("a3", "/admin/health"))["phase"], "ready")
-        told = await site.ask("a3", "/admin/agree/propose", '{"rules": {"open": 60}}')
-        self.assertIn("not a member", told["error"])
-        told = await site.ask("a1", "/admin/agree/propose", '{"rules": {"open": 2}}')
-        self.assertIn("below 5", told["error"])
+        await site.wait_for_all(2, "a0", "a2", state="alone")
+        self.assertEqual((await site.admin("a3"))["acts_on"]["open"], 5)
+        self.assertEqual((await site.admin("a3", "/admin/health"))["phase"], "ready")
+        reply = await site.admin("a3", "/admin/agree/propose", '{"rules": {"open": 60}}')
+        self.assertIn("not a member", reply["error"])
+        reply = await site.admin("a1", "/admin/agree/propose", '{"rules": {"open": 2}}')
+        self.assertIn("below 5", reply["error"])
         for name in ("a0", "a2"):
-            await site.begin(name)
-        await site.all_act(2)
-        site.cut({"a0"}, "deaf")  # what it asks arrives, and it hears no answer
+            await site.start_agent(name)
+        await site.wait_for_all(2)
+        site.isolate({"a0"}, "deaf")  # what it asks arrives, and it hears no answer
         await site.propose("a2", open=30)
-        await site.all_act(3, "a0")
-        site.cut(set())
-        await site.all_act(3)
+        await site.wait_for_all(3, "a0")
+        site.isolate(set())
+        await site.wait_for_all(3)
         self.assertEqual(site.audit(), 0.0)
 
     async def test_a_member_is_replaced_and_the_new_one_votes(self) -> None:
         site = self.site
         await site.start()
-        await site.all_act(1)
-        told = await site.ask("a0", "/admin/agree/propose", '{"council": ["a2", "a3", "a4"]}')
-        self.assertIn("more than one is replaced", told["error"])
-        await site.propose("a0", council=("a0", "a1", "a3"), open=60)
-        await site.all_act(2)
+        await site.wait_for_all(1)
+        reply = await site.admin("a0", "/admin/agree/propose", '{"council": ["a2", "a3", "a4"]}')
+        self.assertIn("more than one is replaced", reply["error"])
+        await site.propose("a0", voters=("a0", "a1", "a3"), open=60)
+        await site.wait_for_all(2)
         for name in ("a1", "a2"):  # the one that went, and one that stayed: a0 and a3 are the majority
             await site.kill(name)
         await site.propose("a3", open=70)
-        await site.all_act(3, "a1", "a2")
+        await site.wait_for_all(3, "a1", "a2")
         for name in ("a1", "a2"):
-            await site.begin(name)
-        await site.all_act(3)
+            await site.start_agent(name)
+        await site.wait_for_all(3)
         self.assertEqual(site.audit(), 0.0)
 
     async def test_a_second_process_in_a_folder_acts_alone_until_the_first_one_ends(self) -> None:
         """The new process of an upgrade, or one that was started twice: one name never has two leases."""
         site = self.site
         await site.start()
-        await site.all_act(1)
+        await site.wait_for_all(1)
         await site.propose("a0", open=60)
-        await site.all_act(2)
+        await site.wait_for_all(2)
         site.hosts["twin"] = own_host()
         config = json.loads((site.folder / "a1.json").read_text())
         config |= {"listen": f"{site.hosts['twin']}:5060", "management": f"{site.hosts['twin']}:7001"}
         (site.folder / "twin.json").write_text(json.dumps(config))
         (site.folder / "twin.toml").write_text((site.folder / "a1.toml").read_text())
-        await site.begin("twin")
+        await site.start_agent("twin")
 
         async def waits() -> bool:
-            return bool((await site.ask("twin")).get("waits_for_the_folder"))
+            return bool((await site.admin("twin")).get("waits_for_the_folder"))
 
-        await site.until(waits)
+        await site.wait_until(waits)
         await asyncio.sleep(WITHIN)
-        self.assertEqual((await site.acts("twin"))[1], "alone")
-        self.assertEqual((await site.ask("twin"))["acts_on"]["open"], 5)
+        self.assertEqual((await site.acting_on("twin"))[1], "alone")
+        self.assertEqual((await site.admin("twin"))["acts_on"]["open"], 5)
         await site.propose("a0", open=70)
-        await site.all_act(3)
+        await site.wait_for_all(3)
         site.processes["a1"].send_signal(signal.SIGTERM)
         self.assertEqual(await site.processes["a1"].wait(), 0)
         site.ends["a1", 0] = boottime()
 
         async def took_over() -> bool:
-            return await site.acts("twin") == (3, "in force") and bool((await site.ask("twin"))["member"])
+            return await site.acting_on("twin") == (3, "in force") and bool((await site.admin("twin"))["member"])
 
-        await site.until(took_over)
+        await site.wait_until(took_over)
         await site.propose("twin", open=80)  # it votes on by what the first one left on the disk
-        await site.all_act(4, "a1")
-        self.assertEqual((await site.ask("twin"))["name"], "a1")
+        await site.wait_for_all(4, "a1")
+        self.assertEqual((await site.admin("twin"))["name"], "a1")
 
     async def test_a_disk_that_lies_is_found_and_its_member_votes_no_more(self) -> None:
         site = self.site
         marks = {name: site.folder / f"{name}.disk" for name in ("a0", "a1", "a2")}
-        await site.start(ways={name: faulty_command("disk", str(mark)) for name, mark in marks.items()})
-        await site.all_act(1)
+        await site.start(commands={name: faulty_command("disk", str(mark)) for name, mark in marks.items()})
+        await site.wait_for_all(1)
         await site.propose("a0", open=40)
-        await site.all_act(2)
+        await site.wait_for_all(2)
         record = site.folder / "a1" / "council"
         old = record.read_bytes()
         await site.propose("a0", open=50)
-        await site.all_act(3)
+        await site.wait_for_all(3)
         await site.kill("a1")
         record.write_bytes(old)  # a disk that went back
-        await site.begin("a1")
+        await site.start_agent("a1")
 
         async def out() -> bool:
             return any("gone back" in one["reason"] for one in site.lines("a1", "council_out"))
 
-        await site.until(out)
+        await site.wait_until(out)
         await site.propose("a2", open=60)
-        await site.all_act(4)  # a1 is an agent still
+        await site.wait_for_all(4)  # a1 is an agent still
         await site.kill("a2")
         torn = site.folder / "a2" / "council"
         torn.write_bytes(torn.read_bytes()[:-7])
-        await site.begin("a2")
-        await site.all_act(4, "a0", "a1", "a2", "a3", "a4")
+        await site.start_agent("a2")
+        await site.wait_for_all(4, "a0", "a1", "a2", "a3", "a4")
         lines = site.lines("a2", "council_out")
         while not (lines := site.lines("a2", "council_out")):
             await asyncio.sleep(0.05)
         self.assertEqual(len(lines), 1)
         self.assertIn("council: cut off", lines[0]["reason"])
         # One of three is left: no lease, nothing new, and calls go on.
-        await site.all_act(4, "a2", stance="alone")
-        self.assertEqual((await site.acts("a2"))[1], "alone")
-        self.assertEqual((await site.ask("a3", "/admin/health"))["phase"], "ready")
+        await site.wait_for_all(4, "a2", state="alone")
+        self.assertEqual((await site.acting_on("a2"))[1], "alone")
+        self.assertEqual((await site.admin("a3", "/admin/health"))["phase"], "ready")
         self.assertEqual(site.audit(), 0.0)
 
     async def test_a_disk_that_fails_or_hangs_takes_its_member_out_and_keeps_nobody_waiting(self) -> None:
         site = self.site
         marks = {name: site.folder / f"{name}.disk" for name in ("a0", "a1")}
-        await site.start(ways={name: faulty_command("disk", str(mark)) for name, mark in marks.items()})
-        await site.all_act(1)
+        await site.start(commands={name: faulty_command("disk", str(mark)) for name, mark in marks.items()})
+        await site.wait_for_all(1)
         marks["a1"].write_text("eio")
         await site.propose("a0", open=40)
-        await site.all_act(2)
+        await site.wait_for_all(2)
         self.assertIn("disk failed", site.lines("a1", "council_out")[0]["reason"])
         marks["a0"].write_text("hang")  # nothing comes of it while the disk hangs: two of three are gone
-        await site.ask("a2", "/admin/agree/propose", '{"rules": {"open": 45}}')
-        await site.all_act(2, stance="alone")
+        await site.admin("a2", "/admin/agree/propose", '{"rules": {"open": 45}}')
+        await site.wait_for_all(2, state="alone")
         for name in site.names:
-            self.assertEqual((await site.ask(name, "/admin/health"))["phase"], "ready")
-        site.auditor.follow(site.newest.next(open=45))
+            self.assertEqual((await site.admin(name, "/admin/health"))["phase"], "ready")
+        site.auditor.add_version(site.newest.with_values(open=45))
         marks["a0"].unlink()
-        await site.all_act(3)
+        await site.wait_for_all(3)
         self.assertEqual(site.audit(), 0.0)
 
     async def test_an_agent_that_acts_on_when_its_lease_is_over_is_caught(self) -> None:
         site = self.site
-        await site.start(ways={"a4": faulty_command("eager")})
-        await site.all_act(1)
-        site.cut({"a4"})
+        await site.start(commands={"a4": faulty_command("eager")})
+        await site.wait_for_all(1)
+        site.isolate({"a4"})
         await site.propose("a0", open=50)
-        await site.all_act(2, "a4")
-        self.assertEqual(await site.acts("a4"), (1, "in force"))
+        await site.wait_for_all(2, "a4")
+        self.assertEqual(await site.acting_on("a4"), (1, "in force"))
         self.assertGreater(site.audit(), 0.0)
--- a/tests/test_agree_schedules.py
+++ b/tests/test_agree_schedules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.schedules import play, schedules
+from tests.schedules import run_schedule, schedules
 from tests.test_agree_bugs import (
     a_restart_is_not_quiet,
     acts_on_after_its_lease,
@@ -18,7 +18,7 @@
 def test_no_schedule_has_anybody_act_beyond_what_is_in_force() -> None:
     seen: set[tuple[object, ...]] = set()
     for schedule in schedules(DEPTH):
-        assert not play(schedule, seen).broken, schedule
+        assert not run_schedule(schedule, seen).violations, schedule
     assert len(seen) > 300
 
 
@@ -27,4 +27,4 @@
 )
 def test_a_seeded_bug_is_found_by_some_schedule(bug: Any) -> None:
     with bug():
-        assert any(play(schedule, set()).broken for schedule in schedules(DEPTH))
+        assert any(run_schedule(schedule, set()).violations for schedule in schedules(DEPTH))
--- a/tests/test_agree_search.py
+++ b/tests/test_agree_search.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from seamlb.agree.council import Member
-from seamlb.agree.kept import Kept, read_kept
-from seamlb.agree.notes import NONE, Kind, Note
-from tests.council import LEASE, founding
+from seamlb.agree.council import Voter
+from seamlb.agree.kept import PersistedState, decode_state
+from seamlb.agree.notes import NO_BALLOT, Kind, Message
+from tests.council import LEASE, founding_version
 
-FIRST = founding(3, 3)
-RIVALS = {"a000": FIRST.next(limit=20), "a002": FIRST.next(limit=30)}
+FIRST = founding_version(3, 3)
+RIVALS = {"a000": FIRST.with_values(limit=20), "a002": FIRST.with_values(limit=30)}
 VOTING = {Kind.PREPARE, Kind.PROMISE, Kind.ACCEPT, Kind.ACCEPTED, Kind.CHOSEN}
 
 
@@ -28,77 +28,90 @@
 
     def __call__(self, body: bytes) -> None:
         self.body = body
-        kept = read_kept(body)
-        self.seen = kept.promised, kept.voted, kept.accepted, kept.newest.digest  # but for the count of records
+        state = decode_state(body)
+        self.stored = (
+            state.promised,
+            state.accepted_ballot,
+            state.accepted,
+            state.newest.digest,
+        )  # but for the count of records
 
 
 class State:
     """Members, what is under way, and what was ever chosen."""
 
     def __init__(self) -> None:
-        self.members = {name: self._start(name, 1, Disk(Kept(FIRST, FIRST).encode())) for name in FIRST.council}
-        self.flying: list[tuple[str, Note]] = []
+        self.voters = {
+            name: self._start(name, 1, Disk(PersistedState(FIRST, FIRST).encode())) for name in FIRST.voters
+        }
+        self.in_flight: list[tuple[str, Message]] = []
         self.crashes, self.chosen = 1, {FIRST.digest}
-        for name, charter in RIVALS.items():
-            why, out = self.members[name].propose(0.0, charter)
+        for name, version in RIVALS.items():
+            why, out = self.voters[name].propose(0.0, version)
             assert why == ""
             self._send(out)
 
-    def _start(self, name: str, born: int, disk: Disk) -> Member:
-        member = Member(name, born, LEASE, read_kept(disk.body), -2 * LEASE, disk, random.Random(0))
-        member.cleared = dict.fromkeys(FIRST.council, 1)
-        return member
+    def _start(self, name: str, epoch: int, disk: Disk) -> Voter:
+        voter = Voter(name, epoch, LEASE, decode_state(disk.body), -2 * LEASE, disk, random.Random(0))
+        voter.cleared = dict.fromkeys(FIRST.voters, 1)
+        return voter
 
-    def _send(self, out: list[tuple[str, Note]]) -> None:
-        self.flying += [one for one in out if one[1].kind in VOTING]
+    def _send(self, out: list[tuple[str, Message]]) -> None:
+        self.in_flight += [one for one in out if one[1].kind in VOTING]
 
     def key(self) -> bytes:
         """Of two states with one key, one is enough."""
         parts: list[Any] = [self.crashes, sorted(self.chosen)]
-        for name, one in sorted(self.members.items()):
-            kept, vote = one.kept, one.vote
+        for name, one in sorted(self.voters.items()):
+            state, proposal = one.state, one.proposal
             assert isinstance(one.save, Disk)
-            parts.append((name, kept.newest.digest, kept.promised, kept.voted, kept.accepted, one.save.seen))
-            if vote:
-                putting = vote.putting.digest if vote.putting else ""
-                parts.append((vote.ballot, putting, sorted(vote.promises.items()), sorted(vote.accepted)))
-        fly = sorted((to, n.kind, n.sender, n.ballot, n.voted, n.body) for to, n in self.flying)
+            parts.append(
+                (name, state.newest.digest, state.promised, state.accepted_ballot, state.accepted, one.save.stored)
+            )
+            if proposal:
+                value = proposal.value.digest if proposal.value else ""
+                parts.append(
+                    (proposal.ballot, value, sorted(proposal.promises.items()), sorted(proposal.accepted_by))
+                )
+        fly = sorted((to, n.kind, n.sender, n.ballot, n.accepted_ballot, n.body) for to, n in self.in_flight)
         return blake2b(repr((parts, fly)).encode()).digest()
 
     def copy(self) -> "State":
         new = copy(self)
-        new.members, new.flying, new.chosen = dict(self.members), list(self.flying), set(self.chosen)
+        new.voters, new.in_flight, new.chosen = dict(self.voters), list(self.in_flight), set(self.chosen)
         return new
 
     def arrives(self, place: int) -> None:
         """The note of that place under way reaches its member."""
-        to, note = self.flying.pop(place)
-        member = self.members[to] = copy(self.members[to])
-        assert isinstance(member.save, Disk)
-        member.kept, member.save, member.fences = replace(member.kept), copy(member.save), dict(member.fences)
-        if vote := member.vote:
-            member.vote = replace(vote, promises=dict(vote.promises), accepted=set(vote.accepted))
-        self._send(member.received(0.0, note))
-        self.chosen.add(member.newest.digest)
+        to, message = self.in_flight.pop(place)
+        voter = self.voters[to] = copy(self.voters[to])
+        assert isinstance(voter.save, Disk)
+        voter.state, voter.save, voter.fences = replace(voter.state), copy(voter.save), dict(voter.fences)
+        if proposal := voter.proposal:
+            voter.proposal = replace(
+                proposal, promises=dict(proposal.promises), accepted_by=set(proposal.accepted_by)
+            )
+        self._send(voter.on_message(0.0, message))
+        self.chosen.add(voter.newest.digest)
 
     def crashed(self, name: str) -> None:
         """A member is killed and starts from its disk."""
-        member = self.members[name]
-        assert isinstance(member.save, Disk)
-        self.members[name] = self._start(name, member.born + 1, member.save)
+        voter = self.voters[name]
+        assert isinstance(voter.save, Disk)
+        self.voters[name] = self._start(name, voter.epoch + 1, voter.save)
         self.crashes -= 1
 
     def after(self, choice: int) -> "State":
         """The state after the note of that place arrived, or with one past them all a crash of that member."""
         new = self.copy()
-        if choice < len(new.flying):
+        if choice < len(new.in_flight):
             new.arrives(choice)
         else:
-            new.crashed(sorted(new.members)[choice - len(new.flying)])
+            new.crashed(sorted(new.voters)[choice - len(new.in_flight)])
         return new
 
     def choices(self) -> int:
-        return len(self.flying) + (len(self.members) if self.crashes else 0)
+        return len(self.in_flight) + (len(self.voters) if self.crashes else 0)
 
 
 def search(most: int, seed: int) -> tuple[int, bool]:
@@ -120,35 +133,40 @@
 def walk(seed: int) -> bool:
     """One order drawn at random, with some notes lost and one crash; were two charters chosen in one slot?"""
     rng, state = random.Random(seed), State()
-    while state.flying and len(state.chosen) < 3:
-        place = rng.randrange(len(state.flying))
+    while state.in_flight and len(state.chosen) < 3:
+        place = rng.randrange(len(state.in_flight))
         if rng.random() < 0.05:
-            del state.flying[place]
+            del state.in_flight[place]
         elif state.crashes and rng.random() < 0.2:
-            state.crashed(rng.choice(FIRST.council))
+            state.crashed(rng.choice(FIRST.voters))
         else:
             state.arrives(place)
     return len(state.chosen) > 2
 
 
 def votes_before_the_disk_has_them() -> AbstractContextManager[Any]:  # A1
-    def keep(self: Member, **change: object) -> bool:
+    def keep(self: Voter, **change: object) -> bool:
         for name, value in change.items():
-            setattr(self.kept, name, value)
+            setattr(self.state, name, value)
         if "newest" in change:
-            self.save(self.kept.encode())
+            self.save(self.state.encode())
         return True
 
-    return mock.patch.object(Member, "_keep", keep)
+    return mock.patch.object(Voter, "_persist", keep)
 
 
 def forgets_what_was_voted_for() -> AbstractContextManager[Any]:  # A6
-    promised = Member._promised
+    promised = Voter._on_promise
 
-    def own(self: Member, note: Note) -> list[tuple[str, Note]]:
-        return promised(self, Note(note.kind, note.sender, slot=note.slot, ballot=note.ballot, voted=NONE))
+    def own(self: Voter, message: Message) -> list[tuple[str, Message]]:
+        return promised(
+            self,
+            Message(
+                message.kind, message.sender, slot=message.slot, ballot=message.ballot, accepted_ballot=NO_BALLOT
+            ),
+        )
 
-    return mock.patch.object(Member, "_promised", own)
+    return mock.patch.object(Voter, "_on_promise", own)
 
 
 def test_no_order_of_votes_and_no_crash_chooses_two() -> None:
--- a/tests/test_merged.py
+++ b/tests/test_merged.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Sequence
 
-from seamlb.agree.merged import Merged
+from seamlb.agree.merged import DeskListMerger
 from seamlb.api import Availability, Scope
 from seamlb.daemon import Daemon
 from seamlb.discovery.consul import ConsulConfig
@@ -22,8 +22,8 @@
 class Told:
     def __init__(self, *awaited: str) -> None:
         self.news: list[tuple[Scope, dict[str, int]]] = []
-        self.merged = Merged(("board", "consul"), awaited or ("board", "consul"), self.changed)
-        self.board, self.consul = self.merged.source("board"), self.merged.source("consul")
+        self.merged = DeskListMerger(("board", "consul"), awaited or ("board", "consul"), self.changed)
+        self.board, self.consul = self.merged.callback("board"), self.merged.callback("consul")
 
     def changed(self, scope: Scope, desks: Sequence[Desk]) -> None:
         self.news.append((scope, {one.ident: one.availability for one in desks}))
@@ -55,14 +55,14 @@
 
 def test_a_silent_source_is_not_waited_for_for_ever_and_the_first_one_says_where_a_desk_is() -> None:
     told = Told()
-    told.merged.begin()
+    told.merged.publish_first()
     assert not told.news
     told.consul(Scope.CACHED, [desk("a", READY, "consul:1")])
-    told.merged.begin()
-    told.merged.begin()
+    told.merged.publish_first()
+    told.merged.publish_first()
     assert told.news == [(Scope.CACHED, {"a": READY})]
     told.board(Scope.CACHED, [desk("a", READY, "board:1")])
-    assert told.merged.told["a"].address == "board:1"
+    assert told.merged.published["a"].address == "board:1"
     alone = Told("consul")
     alone.consul(Scope.CACHED, [desk("a")])
     assert alone.last == (Scope.CACHED, {"a": READY})
--- a/tests/test_relations.py
+++ b/tests/test_relations.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from seamlb.agree.charter import Charter, CharterError, Field, decode
-from seamlb.agree.relations import KINDS
-from tests.council import founding
+from seamlb.agree.charter import ConfigVersion, Rule, VersionError, decode
+from seamlb.agree.relations import RELATIONS
+from tests.council import founding_version
 
-WHO = ["a", "b", "c"]
+AGENTS = ["a", "b", "c"]
 ZONES = ["east", "north", "south"]
 NAMES = st.lists(st.sampled_from(["d1", "d2", "d3", "d4"]), unique=True).map(sorted)
 PART = st.integers(0, 10).map(float)
@@ -18,8 +18,8 @@
     "limit": st.integers(0, 1000),
     "floor": st.integers(0, 1000),
     "held": NAMES,
-    "share": st.dictionaries(st.sampled_from(WHO), PART).map(lambda parts: {"whole": 30.0, "parts": parts}),
-    "owner": st.sampled_from(["", *WHO]),
+    "share": st.dictionaries(st.sampled_from(AGENTS), PART).map(lambda parts: {"whole": 30.0, "parts": parts}),
+    "owner": st.sampled_from(["", *AGENTS]),
     "left": st.lists(st.sampled_from(ZONES), unique=True, max_size=2).map(
         lambda left: {"zones": ZONES, "left": sorted(left)}
     ),
@@ -33,28 +33,28 @@
 @given(st.sampled_from(sorted(VALUES)).flatmap(lambda kind: st.tuples(st.just(kind), VALUES[kind], VALUES[kind])))
 def test_a_guard_keeps_within_both_and_is_itself_a_value(case: tuple[str, Any, Any]) -> None:
     kind, a, b = case
-    relation = KINDS[kind]
+    relation = RELATIONS[kind]
     assert relation.check(a) == relation.check(b) == ""
-    guard = relation.guard(a, b)
-    assert relation.check(guard) == ""
-    for who in WHO:
-        assert relation.keeps(who, guard, a) and relation.keeps(who, guard, b)
-        assert relation.keeps(who, a, a)
-    assert relation.contradict(tuple(WHO), a, b) == relation.contradict(tuple(WHO), b, a)
-    assert not relation.contradict(tuple(WHO), a, a)
+    strictest = relation.strictest(a, b)
+    assert relation.check(strictest) == ""
+    for agent in AGENTS:
+        assert relation.complies(agent, strictest, a) and relation.complies(agent, strictest, b)
+        assert relation.complies(agent, a, a)
+    assert relation.conflict(tuple(AGENTS), a, b) == relation.conflict(tuple(AGENTS), b, a)
+    assert not relation.conflict(tuple(AGENTS), a, a)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.sampled_from(sorted(VALUES)).flatmap(lambda kind: st.tuples(st.just(kind), VALUES[kind], VALUES[kind])))
 def test_a_charter_leaves_room_for_who_is_alone_or_is_refused(case: tuple[str, Any, Any]) -> None:
-    kind, alone, value = case
-    relation = KINDS[kind]
+    kind, fallback, value = case
+    relation = RELATIONS[kind]
     try:
-        Charter(1, "", ("a",), tuple(WHO), {"rule": Field(kind, value, alone)})
-    except CharterError as error:
+        ConfigVersion(1, "", ("a",), tuple(AGENTS), {"rule": Rule(kind, value, fallback)})
+    except VersionError as error:
         assert str(error).startswith("rule: ")
     else:
-        assert all(relation.keeps(who, alone, value) for who in WHO)
+        assert all(relation.complies(agent, fallback, value) for agent in AGENTS)
 
 
 @pytest.mark.parametrize(
@@ -76,28 +76,32 @@
     ],
 )
 def test_a_value_that_its_kind_cannot_have_is_refused(kind: str, value: Any) -> None:
-    with pytest.raises(CharterError, match="^rule: "):
-        Charter(1, "", ("a",), ("a",), {"rule": Field(kind, value, value)})
+    with pytest.raises(VersionError, match="^rule: "):
+        ConfigVersion(1, "", ("a",), ("a",), {"rule": Rule(kind, value, value)})
 
 
 def test_a_charter_is_the_same_bytes_wherever_it_is_written() -> None:
-    first = founding(5, 3)
+    first = founding_version(5, 3)
     assert decode(first.body).digest == first.digest
     for spoilt in (b"", b"{}", first.body[:-1], first.body + b" ", b"[]"):
-        with pytest.raises(CharterError):
+        with pytest.raises(VersionError):
             decode(spoilt)
 
 
 def test_what_may_follow() -> None:
-    first = founding(5, 3)
-    second = first.next(limit=50)
-    assert second.follows(first) == "" and "another charter" in first.next(limit=50).next(limit=60).follows(first)
-    assert second.contradicts(first) == ["limit"] and first.next(note="x").contradicts(first) == []
-    fields = dict(second.fields) | {"limit": Field("limit", 50, 20)}
-    assert "never change" in Charter(2, first.digest, first.council, first.agents, fields).follows(first)
+    first = founding_version(5, 3)
+    second = first.with_values(limit=50)
+    assert second.succession_error(first) == "" and "another charter" in first.with_values(limit=50).with_values(
+        limit=60
+    ).succession_error(first)
+    assert second.conflicts_with(first) == ["limit"] and first.with_values(note="x").conflicts_with(first) == []
+    fields = dict(second.rules) | {"limit": Rule("limit", 50, 20)}
+    assert "never change" in ConfigVersion(2, first.digest, first.voters, first.agents, fields).succession_error(
+        first
+    )
     del fields["limit"]
-    assert "never goes" in Charter(2, first.digest, first.council, first.agents, fields).follows(first)
-    with pytest.raises(CharterError, match="limit: below 10"):
-        first.next(limit=5)
-    with pytest.raises(CharterError, match="unknown field"):
-        first.next(other=5)
+    assert "never goes" in ConfigVersion(2, first.digest, first.voters, first.agents, fields).succession_error(first)
+    with pytest.raises(VersionError, match="limit: below 10"):
+        first.with_values(limit=5)
+    with pytest.raises(VersionError, match="unknown field"):
+        first.with_values(other=5)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from seamlb.agree.council import Member
-from seamlb.agree.kept import Kept, read_kept
+from seamlb.agree.council import Voter
+from seamlb.agree.kept import PersistedState, decode_state
 from seamlb.store import record
-from tests.council import LEASE, founding
-from tests.lying import LyingFiles
+from tests.council import LEASE, founding_version
+from tests.lying import FaultyFiles
 
 
 def test_a_record_torn_at_any_byte_is_found(tmp_path: Path) -> None:
@@ -18,7 +18,7 @@
     record.write(place, body)
     whole = len(place.read_bytes())
     for torn in range(whole):
-        record.write(place, body, LyingFiles(torn=torn))
+        record.write(place, body, FaultyFiles(torn=torn))
         with pytest.raises(record.RecordError, match="vote"):
             record.read(place)
     record.write(place, body)
@@ -35,13 +35,13 @@
             record.read(place)
 
 
-@pytest.mark.parametrize("fails", ["write", "fsync", "replace"])
+@pytest.mark.parametrize("failing_call", ["write", "fsync", "replace"])
 @pytest.mark.parametrize("code", [errno.EIO, errno.ENOSPC])
-def test_a_failed_write_is_told_and_leaves_the_record_before(tmp_path: Path, fails: str, code: int) -> None:
+def test_a_failed_write_is_told_and_leaves_the_record_before(tmp_path: Path, failing_call: str, code: int) -> None:
     place = tmp_path / "vote"
     record.write(place, b"old")
     with pytest.raises(OSError, match=errno.errorcode[code]):
-        record.write(place, b"new", LyingFiles(fails, code))
+        record.write(place, b"new", FaultyFiles(failing_call, code))
     assert record.read(place) == b"old" and [one.name for one in tmp_path.iterdir()] == ["vote"]
 
 
@@ -50,27 +50,27 @@
     assert record.read(place) is None
     record.write(place, b"old")
     with pytest.raises(record.RecordError):
-        record.read(place, LyingFiles("read"))
+        record.read(place, FaultyFiles("read"))
 
 
-@pytest.mark.parametrize("fails", ["write", "fsync", "replace"])
-def test_a_member_tells_no_vote_that_its_disk_may_not_have(tmp_path: Path, fails: str) -> None:
-    first, place, files = founding(3, 3), tmp_path / "vote", LyingFiles()
-    record.write(place, Kept(first, first).encode())
-    member = Member(
+@pytest.mark.parametrize("failing_call", ["write", "fsync", "replace"])
+def test_a_member_tells_no_vote_that_its_disk_may_not_have(tmp_path: Path, failing_call: str) -> None:
+    first, place, files = founding_version(3, 3), tmp_path / "vote", FaultyFiles()
+    record.write(place, PersistedState(first, first).encode())
+    voter = Voter(
         "a000",
         1,
         LEASE,
-        Kept(first, first),
+        PersistedState(first, first),
         -2 * LEASE,
         lambda body: record.write(place, body, files),
         random.Random(1),
     )
-    member.cleared = dict.fromkeys(first.council, 1)
-    why, out = member.propose(0.0, first.next(limit=20))
+    voter.cleared = dict.fromkeys(first.voters, 1)
+    why, out = voter.propose(0.0, first.with_values(limit=20))
     assert why == "" and len(out) == 3
-    files.fails = fails
-    assert [member.received(0.0, note) for to, note in out if to == "a000"] == [[]]
-    assert "the disk failed" in member.out_of_it and member.tick(1.0) == []
-    kept = record.read(place)
-    assert kept and read_kept(kept).promised == (0, "")
+    files.failing_call = failing_call
+    assert [voter.on_message(0.0, message) for to, message in out if to == "a000"] == [[]]
+    assert "the disk failed" in voter.halt_reason and voter.tick(1.0) == []
+    state = record.read(place)
+    assert state and decode_state(state).promised == (0, "")
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -72,7 +72,7 @@
     case "disk":  # wrong while a file is there, as the word in it says
         _disk(Path(sys.argv.pop(1)))
     case "eager":  # acts on though its lease is over
-        from seamlb.agree.holder import Holder, Stance
+        from seamlb.agree.holder import LeaseHolder, LeaseState
 
-        Holder.stance = lambda self, now: Stance.PLAIN  # type: ignore[method-assign]
+        LeaseHolder.lease_state = lambda self, now: LeaseState.IN_FORCE  # type: ignore[method-assign]
 main()
