--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -21,7 +21,7 @@
 import numpy as np
 
 from seamlb.planning.words import table
-from seamlb.rollout.change import Course, Place, View
+from seamlb.rollout.change import AgentStatus, RolloutState, RolloutStateMachine
 from seamlb.rollout.figures import Sample
 from seamlb.rollout.plan import Agent, Plan, Revision, Stage
 
@@ -145,8 +145,8 @@
         settle=10.0,
     )
     found = Outcome({}, {}, {})
-    streams, place = Streams(seed, size, spread, way), Place("c", plan)
-    course, now, exposed = Course(place, 0.0), 0.0, 0
+    streams, place = Streams(seed, size, spread, way), RolloutState("c", plan)
+    course, now, exposed = RolloutStateMachine(place, 0.0), 0.0, 0
     runs, wanted = [old.ident] * size, [""] * size
     look, settled, plain, stage = Look(streams), 0.0, False, 0
     while place.phase == "forward":
@@ -154,11 +154,11 @@
         changed = np.array([one == new.ident for one in runs])
         exposed += streams.step(now, changed)
         views = {
-            name: View(
+            name: AgentStatus(
                 now,
                 runs[n],
                 True,
-                wanted=wanted[n],
+                desired=wanted[n],
                 sample=Sample(
                     f"{n}.{streams.process[n]}",
                     runs[n],
--- a/seamlb/rollout/change.py
+++ b/seamlb/rollout/change.py
@@ -26,7 +26,7 @@
 RETRY = 5.0  # seconds between two orders to an agent that did not come up on its way back
 
 
-class Place(msgspec.Struct, forbid_unknown_fields=True):
+class RolloutState(msgspec.Struct, forbid_unknown_fields=True):
     """Where a change stands: all that is kept of it."""
 
     change: str  # its name
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class View:
+class AgentStatus:
     """What is known of one agent."""
 
     heard: float  # when its keeper last answered
@@ -47,7 +47,7 @@
     ready: bool = False
     coming: str = ""  # the revision that is being brought up beside it
     failed: str = ""  # why the last order came to nothing; empty once another was given
-    wanted: str = ""  # the last order
+    desired: str = ""  # the last order
     crashes: int = 0  # since the keeper's start
     sample: Sample | None = None
 
@@ -60,10 +60,10 @@
     revision: str
 
 
-class Course:
+class RolloutStateMachine:
     """One change, step by step."""
 
-    def __init__(self, place: Place, now: float) -> None:
+    def __init__(self, place: RolloutState, now: float) -> None:
         self.place = place
         self.plan = place.plan
         self.names = [one.name for one in place.plan.agent]
@@ -118,7 +118,7 @@
 
     # -- the fleet ----------------------------------------------------------------------------
 
-    def step(self, now: float, views: Mapping[str, View]) -> list[Order]:
+    def step(self, now: float, views: Mapping[str, AgentStatus]) -> list[Order]:
         """Look at the whole fleet; what is ordered now."""
         if self.place.phase in OVER:
             return []
@@ -131,18 +131,18 @@
             self._enter("undone", now)
         return self._orders(now, views) if self.place.phase in ("forward", "back") else []
 
-    def _is(self, views: Mapping[str, View], name: str, revision: str) -> bool:
+    def _is(self, views: Mapping[str, AgentStatus], name: str, revision: str) -> bool:
         """Does it run that revision alone? An agent that nobody heard of is none of which this is known."""
         view = views.get(name)
         return view is not None and view.running == revision and not view.coming and view.ready
 
-    def _undone(self, views: Mapping[str, View]) -> bool:
+    def _undone(self, views: Mapping[str, AgentStatus]) -> bool:
         """Is everything as it was? Each was asked anew since the way back began: an order may have come late."""
         return all(
             self._is(views, name, self.plan.old.ident) and views[name].heard >= self.began for name in self.touched
         )
 
-    def _hear(self, now: float, views: Mapping[str, View]) -> None:
+    def _hear(self, now: float, views: Mapping[str, AgentStatus]) -> None:
         new = self.plan.new.ident
         target = self.target
         before = self.evidence.strata[-1].changed
@@ -163,7 +163,7 @@
         """Is an agent judged yet? One that has just gone over learns desks anew, whatever its revision."""
         return name not in self.since or now - self.since[name] >= self.plan.settle
 
-    def _trouble(self, now: float, views: Mapping[str, View]) -> str:
+    def _trouble(self, now: float, views: Mapping[str, AgentStatus]) -> str:
         """Why the change has to stop; empty if it has not."""
         new = self.plan.new.ident
         stage = self.plan.stage[self.place.stage]
@@ -174,7 +174,7 @@
                 return f"{name}: nothing heard for {now - heard:.0f} s"
             if view is None:
                 continue
-            if view.failed and view.wanted == new and view.heard > self.ordered.get(name, ("", math.inf))[1]:
+            if view.failed and view.desired == new and view.heard > self.ordered.get(name, ("", math.inf))[1]:
                 return f"{name}: {view.failed}"
             if (crashed := view.crashes - self.base[name]) > self.plan.crashes and view.running in (new, ""):
                 return f"{name}: ended by itself {crashed} times in this stage"
@@ -187,7 +187,7 @@
             return f"stage {self.place.stage} not over after {stage.most:g} s: {self.waits or 'agents not changed'}"
         return ""
 
-    def _passes(self, now: float, views: Mapping[str, View]) -> bool:
+    def _passes(self, now: float, views: Mapping[str, AgentStatus]) -> bool:
         """Is this stage over, and well?"""
         target = self.target
         if not all(self._is(views, name, self.plan.new.ident) for name in target):
@@ -218,10 +218,10 @@
         return not self.waits
 
     @staticmethod
-    def _fresh(now: float, view: View) -> bool:
+    def _fresh(now: float, view: AgentStatus) -> bool:
         return view.sample is not None and now - view.sample.at <= FRESH and view.sample.revision == view.running
 
-    def _next(self, now: float, views: Mapping[str, View]) -> None:
+    def _next(self, now: float, views: Mapping[str, AgentStatus]) -> None:
         self.said.append(
             (
                 "rollout_stage",
@@ -236,7 +236,7 @@
         self.base = {name: view.crashes for name, view in views.items()}
         self.evidence.begin()
 
-    def _orders(self, now: float, views: Mapping[str, View]) -> list[Order]:
+    def _orders(self, now: float, views: Mapping[str, AgentStatus]) -> list[Order]:
         """What is missing, within what may be in motion at a time."""
         back = self.place.phase == "back"
         revision = self.plan.old.ident if back else self.plan.new.ident
@@ -245,7 +245,7 @@
         moving |= {
             name
             for name, (wanted, at) in self.ordered.items()
-            if now - at < RETRY and not (name in views and views[name].wanted == wanted and views[name].heard > at)
+            if now - at < RETRY and not (name in views and views[name].desired == wanted and views[name].heard > at)
         }
         down = {
             name
--- a/seamlb/rollout/command.py
+++ b/seamlb/rollout/command.py
@@ -10,7 +10,7 @@
 
 import click
 
-from seamlb.rollout.change import OVER, Place
+from seamlb.rollout.change import OVER, RolloutState
 from seamlb.rollout.conductor import WISHES, ChangeRefusedError, Conductor, Folder
 from seamlb.rollout.keeper import Keeper, load_keeper
 from seamlb.rollout.plan import Plan, PlanError, load_plan
@@ -43,7 +43,7 @@
         _end(str(error), 2)
 
 
-def _place(folder: Folder) -> Place:
+def _place(folder: Folder) -> RolloutState:
     try:
         place = folder.place()
     except record.RecordError as error:
@@ -53,8 +53,8 @@
     return place
 
 
-def _conduct(folder: Folder, place: Place) -> NoReturn:
-    async def go() -> Place:
+def _conduct(folder: Folder, place: RolloutState) -> NoReturn:
+    async def go() -> RolloutState:
         return await Conductor(folder, place).run()
 
     try:
@@ -95,7 +95,7 @@
         _end(f"{state}: change {found.change} is not over; resume or abort it", 1)
     folder.wished()  # one that was left to an earlier change
     before = after or (found.change if found else "")
-    _conduct(folder, Place(f"{told.new.name}-{uuid.uuid4().hex[:8]}", told, after=before))
+    _conduct(folder, RolloutState(f"{told.new.name}-{uuid.uuid4().hex[:8]}", told, after=before))
 
 
 def _steer(what: str, text: str) -> None:
--- a/seamlb/rollout/conductor.py
+++ b/seamlb/rollout/conductor.py
@@ -19,7 +19,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError, HTTPRequest
 
 from seamlb import log
-from seamlb.rollout.change import OVER, Course, Order, Place, View
+from seamlb.rollout.change import OVER, AgentStatus, Order, RolloutState, RolloutStateMachine
 from seamlb.rollout.figures import Sample
 from seamlb.rollout.plan import Revision
 from seamlb.store import record
@@ -51,11 +51,11 @@
         return None
 
 
-def view_of(told: dict[str, Any], at: float) -> View:
+def view_of(told: dict[str, Any], at: float) -> AgentStatus:
     """A keeper's answer to a question that was sent at a time; ValueError, KeyError or TypeError if it is none."""
     figures = told.get("figures")
     sample = sample_of(figures, told["running"], at - float(told["figures_age"])) if figures else None
-    return View(
+    return AgentStatus(
         at,
         told["running"],
         bool(told["ready"]),
@@ -86,13 +86,13 @@
             os.close(self.locked)
             self.locked = None
 
-    def place(self) -> Place | None:
+    def place(self) -> RolloutState | None:
         """Where the change stands; None if there is none, RecordError if its file can't be trusted."""
         body = record.read(self.path / "change")
         if body is None:
             return None
         try:
-            place = msgspec.json.decode(body, type=Place)
+            place = msgspec.json.decode(body, type=RolloutState)
         except msgspec.DecodeError as error:
             raise record.RecordError(f"{self.path / 'change'}: {error}") from None
         for one in (place.plan.old, place.plan.new):
@@ -100,7 +100,7 @@
                 raise record.RecordError(f"{self.path / 'change'}: {one.ident} is not what its digest says")
         return place
 
-    def keep(self, place: Place) -> None:
+    def keep(self, place: RolloutState) -> None:
         """Put down where it stands; OSError."""
         record.write(self.path / "change", msgspec.json.encode(place))
 
@@ -126,7 +126,7 @@
 class Conductor:
     """Conducts one change until it is over."""
 
-    def __init__(self, folder: Folder, place: Place) -> None:
+    def __init__(self, folder: Folder, place: RolloutState) -> None:
         self.folder = folder
         self.place = place
         # Whoever has the folder's lock goes on with the lease of the one before; a copy elsewhere has another name.
@@ -134,7 +134,7 @@
         self.keepers = {one.name: one.keeper for one in place.plan.agent}
         self.revisions: dict[str, Revision] = {one.ident: one for one in (place.plan.old, place.plan.new)}
         self.client = AsyncHTTPClient(force_instance=True, max_clients=CLIENTS)
-        self.views: dict[str, View] = {}
+        self.views: dict[str, AgentStatus] = {}
         self.refusals: dict[str, str] = {}
         self.kept = 0  # the `seq` that is on the disk
         self.disk = ""
@@ -215,11 +215,11 @@
             if view.running and view.running not in self.revisions:
                 raise ChangeRefusedError(f"{agent}: runs {view.running}, which is neither old nor new")
 
-    async def run(self) -> Place:
+    async def run(self) -> RolloutState:
         """Conduct until the change is over; ChangeRefusedError once another one does, or more is known than here."""
         loop = asyncio.get_running_loop()
         await self.begin()
-        course = Course(self.place, loop.time())
+        course = RolloutStateMachine(self.place, loop.time())
         log.event(
             "rollout",
             change=self.place.change,
--- a/seamlb/rollout/measures.py
+++ b/seamlb/rollout/measures.py
@@ -17,7 +17,7 @@
 FAULTS = ("fault", "drain_late")  # log lines that no healthy version writes
 
 
-class Measures:
+class CanaryMetrics:
     """Counts since the start of the process."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         self.answers: dict[str, HdrHistogram] = {}
         self.lag = HdrHistogram(1, LONGEST, DIGITS)
 
-    def ended(self, kind: str, how: str, ms: float) -> None:
+    def record_outcome(self, kind: str, how: str, ms: float) -> None:
         """A request of a class got its final answer, or its caller left."""
         self.counts.setdefault(kind, Counter())[how] += 1
         if how == "fulfilled":
@@ -45,7 +45,7 @@
             await asyncio.sleep(BEAT)
             self.lag.record_value(min(LONGEST, max(1, round((loop.time() - due) * 1000.0))))
 
-    def table(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """What `/admin/measures` shows: times as {milliseconds: how many}."""
         return {
             "process": self.process,
--- a/seamlb/subsystems/measures.py
+++ b/seamlb/subsystems/measures.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Coroutine, Mapping
 
-from seamlb.rollout.measures import Measures
+from seamlb.rollout.measures import CanaryMetrics
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Subsystem, Table
 
@@ -13,12 +13,12 @@
     """`/admin/measures`."""
 
     def __init__(self, agent: Agent) -> None:
-        self.measures = Measures()
-        agent.measure = self.measures.ended
+        self.measures = CanaryMetrics()
+        agent.measure = self.measures.record_outcome
 
     def tables(self) -> Mapping[str, Table]:
         """The measures, for operators."""
-        return {"/admin/measures": self.measures.table}
+        return {"/admin/measures": self.measures.snapshot}
 
     def runs(self) -> list[Coroutine[None, None, None]]:
         """The sampling of the loop's lag."""
--- a/tests/rollout_toy.py
+++ b/tests/rollout_toy.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from seamlb.rollout.change import Course, Place, View
+from seamlb.rollout.change import AgentStatus, RolloutState, RolloutStateMachine
 from seamlb.rollout.figures import Sample
 from seamlb.rollout.plan import Agent, Plan, Revision, Stage
 
@@ -21,10 +21,10 @@
 class Toy:
     """A fleet of agents that do what they are told at once, and their traffic, on a clock of its own."""
 
-    def __init__(self, told: Plan, place: Place | None = None) -> None:
+    def __init__(self, told: Plan, place: RolloutState | None = None) -> None:
         self.now, self.rng = 0.0, random.Random(1)
-        self.place = place or Place("c", told)
-        self.course = Course(self.place, 0.0)
+        self.place = place or RolloutState("c", told)
+        self.course = RolloutStateMachine(self.place, 0.0)
         self.runs = {one.name: OLD.ident for one in told.agent}
         self.processes: Counter[str] = Counter()
         self.counts = {name: Counter[tuple[str, str]]() for name in self.runs}
@@ -32,7 +32,7 @@
         self.failing: dict[str, str] = {}  # agents on which the new revision does not come up, and why
         self.silent: set[str] = set()  # keepers that don't answer
         self.blind: set[str] = set()  # keepers that answer without figures
-        self.views: dict[str, View] = {}
+        self.views: dict[str, AgentStatus] = {}
         self.wanted: dict[str, str] = {}
         self.most = 0  # agents ordered in one step
         self.refuses = 0.02  # share that the new revision refuses of class b
@@ -49,7 +49,7 @@
                 counts["b", "throttled" if self.rng.random() < share else "fulfilled"] += 1
             sample = Sample(f"{name}{self.processes[name]}", running, self.now, dict(counts), {})
             failed = self.failing.get(name, "") if self.wanted.get(name) == NEW.ident else ""
-            self.views[name] = View(
+            self.views[name] = AgentStatus(
                 self.now,
                 running,
                 True,
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from seamlb.rollout.change import Course, Place
+from seamlb.rollout.change import RolloutState, RolloutStateMachine
 from seamlb.rollout.figures import Evidence, Sample
 from seamlb.rollout.plan import Stage
 from tests.rollout_toy import NEW, OLD, Toy, plan
@@ -125,8 +125,8 @@
                 toy.step()
                 if not given_:  # it died after it had put the step down, before any order left
                     toy.runs = before
-                kept = msgspec.json.decode(msgspec.json.encode(toy.place), type=Place)
-                toy.place, toy.course = kept, Course(kept, toy.now)
+                kept = msgspec.json.decode(msgspec.json.encode(toy.place), type=RolloutState)
+                toy.place, toy.course = kept, RolloutStateMachine(kept, toy.now)
                 self.assertEqual(toy.until_over(), over, (kill, given_))
                 self.assertEqual(set(toy.runs.values()), {(NEW if over == "done" else OLD).ident})
 
--- a/tests/test_rollout_files.py
+++ b/tests/test_rollout_files.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from seamlb.cli import main
-from seamlb.rollout.change import Place
+from seamlb.rollout.change import RolloutState
 from seamlb.rollout.conductor import Folder
 from seamlb.rollout.plan import Stage
 from seamlb.store import record
@@ -50,7 +50,7 @@
 
     def test_a_place_whose_revision_lies_is_not_acted_on(self) -> None:
         folder = Folder(self.folder)
-        folder.keep(Place("c", plan()))  # its digests are made up
+        folder.keep(RolloutState("c", plan()))  # its digests are made up
         with self.assertRaisesRegex(record.RecordError, "not what its digest says"):
             folder.place()
 
