--- a/benchmarks/faulty.py
+++ b/benchmarks/faulty.py
@@ -39,7 +39,7 @@
 
 
 def one(rate: float, seed: int, plugins: str) -> Report:
-    return asyncio.run(play(Load(rate, 8.0, agents=1000, setup=0.0003, seed=seed, plugins=plugins, site=SITE)))
+    return asyncio.run(play(Load(rate, 8.0, agents=1000, setup_s=0.0003, seed=seed, plugins=plugins, site=SITE)))
 
 
 def main(rate: float, pairs: int) -> None:
@@ -58,13 +58,13 @@
     for number, pair in enumerate(runs):
         p99 = []
         for label, report in zip(("none", "faulty"), pair, strict=True):
-            figures = report.onset_ms["level-check"]
+            figures = report.answer_delay_ms["level-check"]
             p99.append(figures["p99"])
             stood = 100 * report.results["stood"] / report.calls
             lines.append(
                 f"| {number + 1} | {label} | {report.calls} | {stood:.1f} "
                 f"| {figures['p50']:.1f} | {figures['p99']:.1f} "
-                f"| {100 * report.stood_in_time['alert-confirm']:.1f} | {len(report.broken)} "
+                f"| {100 * report.established_in_time['alert-confirm']:.1f} | {len(report.violations)} "
                 f"| {report.exit_code} |"
             )
         ratios.append(p99[1] / p99[0])
--- a/seamlb/emulator/command.py
+++ b/seamlb/emulator/command.py
@@ -1,4 +1,4 @@
-"""`seamlb lab`: run experiments in the emulator, compare their results."""
+"""`seamlb lab`: runs experiments and load tests, and compares the results of experiments."""
 
 from __future__ import annotations
 
@@ -20,21 +20,23 @@
 
 @lab.command()
 @click.argument("experiment", type=click.Path(path_type=Path, dir_okay=False))
-@click.option("--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Where results go.")
-@click.option("--seeds", type=click.IntRange(1, 10_000), help="Instead of the experiment's own number.")
-@click.option("--processes", type=click.IntRange(1, 64), help="At the same time; one a core without it.")
+@click.option(
+    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Folder for the results."
+)
+@click.option("--seeds", type=click.IntRange(1, 10_000), help="Number of seeds; overrides the experiment's.")
+@click.option("--processes", type=click.IntRange(1, 64), help="Parallel processes; default one per core.")
 def run(experiment: Path, out: Path, seeds: int | None, processes: int | None) -> None:
-    """Play EXPERIMENT: its seeds by its policies by its scenarios."""
+    """Run EXPERIMENT: every combination of its scenarios, policies and seeds."""
     try:
-        told, problem, plan = experiments.read(experiment)
-        told.seeds = seeds or told.seeds
-        rules = experiments.read_rules(experiment, told)
+        definition, problem, plan = experiments.read(experiment)
+        definition.seeds = seeds or definition.seeds
+        rules_text = experiments.read_rules(experiment, definition)
 
-        def progress(done: int, of: int) -> None:
-            click.echo(f"\r  {done} of {of} runs", err=True, nl=done == of)
+        def progress(done: int, total: int) -> None:
+            click.echo(f"\r  {done} of {total} runs", err=True, nl=done == total)
 
-        rows = experiments.play(told, problem, plan, progress, processes, rules)
-        results.save(out, rows, f"seamlb lab run {experiment}", told)
+        rows = experiments.play(definition, problem, plan, progress, processes, rules_text)
+        results.save(out, rows, f"seamlb lab run {experiment}", definition)
     except (PlanningError, OSError) as error:
         click.echo(f"seamlb lab: {error}", err=True)
         sys.exit(2)
@@ -43,7 +45,7 @@
 
 @lab.command()
 @click.option("--front", type=click.Choice(["platform", "tcp", "udp"]), default="platform", show_default=True)
-@click.option("--rate", type=click.FloatRange(0.1, 2000), default=50.0, show_default=True, help="Calls a second.")
+@click.option("--rate", type=click.FloatRange(0.1, 2000), default=50.0, show_default=True, help="Calls per second.")
 @click.option("--seconds", type=click.FloatRange(0.5, 600), default=10.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
@@ -51,7 +53,7 @@
     "faults",
     multiple=True,
     metavar="AT:DESK:WHAT",
-    help="Like 3:desk-1:reset; what is reset, mute, wake, full, empty or drain. May be repeated.",
+    help="Like 3:desk-1:reset; WHAT is reset, mute, wake, full, empty or drain. May be repeated.",
 )
 @click.option(
     "--plugin",
@@ -64,9 +66,9 @@
     "--site",
     "site_file",
     type=click.Path(path_type=Path, dir_okay=False, exists=True),
-    help="A TOML file of classes and offices; without it two plain classes of one office.",
+    help="A TOML file of classes and offices; default two classes and one office.",
 )
-@click.option("--out", type=click.Path(path_type=Path, file_okay=False), help="A folder for report and chart.")
+@click.option("--out", type=click.Path(path_type=Path, file_okay=False), help="Folder for the report and its chart.")
 def load(
     front: str,
     rate: float,
@@ -77,53 +79,56 @@
     site_file: Path | None,
     out: Path | None,
 ) -> None:
-    """Load on loopback sockets, audited; exit code 1 if a rule did not hold."""
-    from seamlb.emulator import load as loads
+    """Run an audited load test on loopback sockets; exit code 1 if a rule is violated."""
+    from seamlb.emulator import load as load_tool
 
-    events = []
-    for one in faults:
-        at, _, rest = one.partition(":")
-        desk, _, what = rest.partition(":")
+    timeline = []
+    for fault in faults:
+        at, _, rest = fault.partition(":")
+        desk, _, kind = rest.partition(":")
         try:
-            events.append((float(at), desk, what))
+            timeline.append((float(at), desk, kind))
         except ValueError:
-            what = ""
-        if what not in loads.FAULTS or desk not in {f"desk-{n}" for n in range(loads.DESKS)}:
-            click.echo(f"seamlb lab: --fault {one}: not AT:DESK:WHAT with {', '.join(loads.FAULTS)}", err=True)
+            kind = ""
+        if kind not in load_tool.FAULTS or desk not in {f"desk-{n}" for n in range(load_tool.DESKS)}:
+            click.echo(
+                f"seamlb lab: --fault {fault}: expected AT:DESK:WHAT, WHAT one of {', '.join(load_tool.FAULTS)}",
+                err=True,
+            )
             sys.exit(2)
     try:
-        site = loads.read_site(site_file) if site_file else loads.Site()
+        site = load_tool.read_site(site_file) if site_file else load_tool.Site()
     except ValueError as error:
         click.echo(f"seamlb lab: --site {error}", err=True)
         sys.exit(2)
-    table = "".join(f'[[plugins.plugin]]\nfile = "{path.resolve()}"\nmost = 1.0\n' for path in plugins)
-    asked = loads.Load(rate, seconds, front, seed=seed, faults=tuple(events), plugins=table, site=site)
-    report = asyncio.run(loads.play(asked))
-    lines = loads.report_lines(asked, report)
+    plugin_tables = "".join(f'[[plugins.plugin]]\nfile = "{path.resolve()}"\nmost = 1.0\n' for path in plugins)
+    spec = load_tool.Load(rate, seconds, front, seed=seed, faults=tuple(timeline), plugins=plugin_tables, site=site)
+    report = asyncio.run(load_tool.play(spec))
+    lines = load_tool.report_lines(spec, report)
     click.echo("\n".join(lines))
     if out:
-        loads.save(out, asked, report, lines)
-    sys.exit(1 if report.broken or report.exit_code else 0)
+        load_tool.save(out, spec, report, lines)
+    sys.exit(1 if report.violations or report.exit_code else 0)
 
 
 @lab.command()
 @click.argument("first")
 @click.argument("second")
 def compare(first: str, second: str) -> None:
-    """Paired differences of SECOND from FIRST, each a results.csv, or results.csv:POLICY."""
+    """Print the paired differences SECOND minus FIRST; each is a results.csv or results.csv:POLICY."""
     try:
-        one, other = (_rows(what) for what in (first, second))
-        click.echo("\n".join(results.compare(one, other)))
+        first_rows, second_rows = (_rows_of_policy(selection) for selection in (first, second))
+        click.echo("\n".join(results.compare(first_rows, second_rows)))
     except PlanningError as error:
         click.echo(f"seamlb lab: {error}", err=True)
         sys.exit(2)
 
 
-def _rows(what: str) -> list[experiments.Row]:
-    path, colon, name = what.rpartition(":")
-    rows = results.load(Path(path if colon else what))
-    picked = [one for one in rows if not colon or one["policy"] == name]
-    if not picked or len({one["policy"] for one in picked}) > 1:
-        names = sorted({one["policy"] for one in rows})
-        raise PlanningError(f"{what}: name one policy behind a colon: {', '.join(names)}")
-    return picked
+def _rows_of_policy(selection: str) -> list[experiments.Row]:
+    path, colon, name = selection.rpartition(":")
+    rows = results.load(Path(path if colon else selection))
+    chosen = [row for row in rows if not colon or row["policy"] == name]
+    if not chosen or len({row["policy"] for row in chosen}) > 1:
+        names = sorted({row["policy"] for row in rows})
+        raise PlanningError(f"{selection}: append :POLICY to select one of: {', '.join(names)}")
+    return chosen
--- a/seamlb/emulator/load.py
+++ b/seamlb/emulator/load.py
@@ -1,7 +1,7 @@
-"""Open-loop load on real loopback sockets: callers on each front, stand-in desks, a timeline of faults, an audit.
+"""Open-loop load test over loopback sockets: callers on one front, desk stubs, a timeline of faults and an audit.
 
-The agent is a process of its own, started as operators start it. Callers come by a Poisson process whatever is
-answered; the time from asking to the final answer goes into an HDR histogram by class.
+The agent runs as a separate process, started as operators start it. Calls arrive as a Poisson process that does not
+depend on the answers; the time from the request to its final answer goes into an HDR histogram per call class.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 from seamlb.emulator.audit import Audit
 from seamlb.emulator.loadcallers import Callers
-from seamlb.emulator.loaddesks import FAULTS, BoardStandin, LoadDesk
+from seamlb.emulator.loaddesks import FAULTS, BoardStub, DeskStub
 from seamlb.emulator.loadsite import DESKS, Load, Report, Site, read_site
 from seamlb.planning.words import table
 
 __all__ = ["DESKS", "FAULTS", "FRONTS", "Load", "Report", "Site", "play", "read_site", "report_lines", "save"]
 
 FRONTS = ("platform", "tcp", "udp")
-WARM_UP = 1.0
+WARM_UP_S = 1.0  # between connecting and the first call
 
 
 def configuration(load: Load, members: list[dict[str, Any]], board: str) -> dict[str, Any]:
-    """The agent's configuration for this load."""
+    """Build the agent's configuration for this load."""
     cells = [list(range(load.desks))] * len(load.site.classes)
-    whole = sum(part for _, part in load.site.offices)
-    shares = [(name, part / whole) for name, part in load.site.offices]
-    room = load.desks * load.agents / load.holding
+    total = sum(part for _, part in load.site.offices)
+    shares = [(name, part / total) for name, part in load.site.offices]
+    capacity = load.desks * load.agents / load.holding_s
     return {
         "name": "load",
         "listen": "127.0.0.1:0",
@@ -41,13 +41,13 @@
         "settings": {
             "Classes": [
                 {
-                    "Name": one.name,
-                    "Worth": one.worth,
-                    "OnTime": one.on_time,
-                    "Deadline": one.deadline,
+                    "Name": call_class.name,
+                    "Worth": call_class.worth,
+                    "OnTime": call_class.on_time_ms,
+                    "Deadline": call_class.deadline_ms,
                     "Effect": "free",
                 }
-                for one in load.site.classes
+                for call_class in load.site.classes
             ],
             "Contract": {
                 "AnswerSlack": 20,
@@ -74,16 +74,16 @@
                 "RetryAfter": True,
             },
             "Report": {"Fields": ["idle", "circuits", "reduce", "avg_ms"], "Source": "answers"},
-            "Tenants": [{"Name": name, "Share": share, "AllowancePerS": share * room} for name, share in shares],
+            "Tenants": [{"Name": name, "Share": share, "AllowancePerS": share * capacity} for name, share in shares],
         },
     }
 
 
 async def play(load: Load) -> Report:
-    """One run; the agent's process has ended when it returns."""
+    """Run one load test; the agent's process has exited when it returns."""
     audit, loop = Audit(), asyncio.get_running_loop()
-    desks = {f"desk-{n}": LoadDesk(f"desk-{n}", load, audit) for n in range(load.desks)}
-    board = BoardStandin()
+    desks = {f"desk-{n}": DeskStub(f"desk-{n}", load, audit) for n in range(load.desks)}
+    board = BoardStub()
     members = [
         {
             "id": name,
@@ -97,18 +97,18 @@
         for cell, (name, desk) in enumerate(desks.items())
     ]
 
-    def told(fresh: list[dict[str, Any]]) -> None:
-        for one in fresh:
-            if one["phase"] != "Ready":
-                audit.drains(loop.time(), one["id"])
+    def list_delivered(changes: list[dict[str, Any]]) -> None:
+        for member in changes:
+            if member["phase"] != "Ready":
+                audit.drain_announced(loop.time(), member["id"])
 
-    board.on_told = told
+    board.on_delivered = list_delivered
     with tempfile.TemporaryDirectory() as folder:
         config, plugins = Path(folder) / "config.json", Path(load.folder or folder) / f"load-{load.seed}.toml"
         config.write_bytes(orjson.dumps(configuration(load, members, await board.start())))
         sip = f'[sip]\n{load.front} = "127.0.0.1:0"\n' if load.front != "platform" else ""
         plugins.write_text(sip + load.plugins)
-        extra = ["--plugins", str(plugins)] if sip or load.plugins else []
+        arguments = ["--plugins", str(plugins)] if sip or load.plugins else []
         agent = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -116,7 +116,7 @@
             "serve",
             "--config",
             str(config),
-            *extra,
+            *arguments,
             stdout=asyncio.subprocess.PIPE,
             limit=1 << 22,
         )
@@ -126,26 +126,26 @@
         finally:
             if agent.returncode is None:
                 agent.terminate()
-            code = await agent.wait()  # its lines are read to the end, or a full pipe would hold it up
+            code = await agent.wait()  # the reading task goes on until end of file: a full pipe would block the agent
             plugins.unlink(missing_ok=True)
             for desk in desks.values():
                 await desk.stop()
             board.server.close()
     await reading
     audit.finish()
-    onset = {
-        name: {f"p{p:g}": one.get_value_at_percentile(p) / 1000.0 for p in (50.0, 90.0, 99.0, 100.0)}
-        for name, one in callers.onset.items()
+    answer_delay_ms = {
+        name: {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000.0 for p in (50.0, 90.0, 99.0, 100.0)}
+        for name, histogram in callers.answer_delay_us.items()
     }
     return Report(
         callers.count,
         callers.results,
-        onset,
-        audit.broken,
+        answer_delay_ms,
+        audit.violation_lines,
         audit.counts,
         faults,
         code,
-        {name: got / max(1, of) for name, (got, of) in callers.in_time.items()},
+        {name: on_time / max(1, total) for name, (on_time, total) in callers.on_time_counts.items()},
     )
 
 
@@ -153,8 +153,8 @@
     load: Load,
     audit: Audit,
     lines: asyncio.StreamReader,
-    desks: dict[str, LoadDesk],
-    board: BoardStandin,
+    desks: dict[str, DeskStub],
+    board: BoardStub,
     members: list[dict[str, Any]],
 ) -> tuple[Callers, list[dict[str, Any]], asyncio.Task[None]]:
     loop, faults, addresses = asyncio.get_running_loop(), list[dict[str, Any]](), dict[str, str]()
@@ -162,54 +162,54 @@
 
     async def read() -> None:
         async for line in lines:
-            told = orjson.loads(line)
-            if told["event"] == "listening":
-                addresses[told["front"]] = told["address"]
-            elif told["event"] == "serving":
+            entry = orjson.loads(line)
+            if entry["event"] == "listening":
+                addresses[entry["front"]] = entry["address"]
+            elif entry["event"] == "serving":
                 serving.set()
-            elif told["event"] in ("fault", "plugin_health", "plugins_paused"):
-                faults.append(told)
+            elif entry["event"] in ("fault", "plugin_health", "plugins_paused"):
+                faults.append(entry)
         serving.set()
 
     reading = asyncio.create_task(read())
     await asyncio.wait_for(serving.wait(), 20.0)
     if load.front not in addresses:
-        raise RuntimeError(f"the agent does not listen for {load.front}")
+        raise RuntimeError(f"the agent does not listen on front {load.front}")
     callers = Callers(load, audit, addresses[load.front])
     await callers.connect()
-    await asyncio.sleep(WARM_UP)
-    for at, name, what in load.faults:
-        if what == "drain":
-            member = next(one for one in members if one["id"] == name) | {"phase": "Terminating"}
-            loop.call_later(at, board.tell, member)
+    await asyncio.sleep(WARM_UP_S)
+    for at, name, kind in load.faults:
+        if kind == "drain":
+            member = next(each for each in members if each["id"] == name) | {"phase": "Terminating"}
+            loop.call_later(at, board.publish, member)
         else:
-            loop.call_later(at, desks[name].fault, what)
+            loop.call_later(at, desks[name].inject_fault, kind)
     await callers.run()
-    await asyncio.sleep(load.site.patience / 1000.0 + 0.3)
+    await asyncio.sleep(load.site.patience_ms / 1000.0 + 0.3)
     callers.close()
     return callers, faults, reading
 
 
 def report_lines(load: Load, report: Report) -> list[str]:
-    """The report as a table, with what made it."""
-    told = ", ".join(f"{what} {count}" for what, count in sorted(report.results.items()))
+    """Format the report: the parameters of the run, a table by class, violations and fault events."""
+    outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(report.results.items()))
     lines = [
         f"{load.front}, {load.rate:g} calls a second for {load.seconds:g} s, seed {load.seed}, "
-        f"{len(load.faults)} faults: {report.calls} calls: {told}",
+        f"{len(load.faults)} faults: {report.calls} calls: {outcomes}",
         "",
     ]
     rows = [
-        [name, f"{100 * report.stood_in_time[name]:.1f}", *(f"{value:.1f}" for value in figures.values())]
-        for name, figures in report.onset_ms.items()
+        [name, f"{100 * report.established_in_time[name]:.1f}", *(f"{value:.1f}" for value in percentiles.values())]
+        for name, percentiles in report.answer_delay_ms.items()
     ]
-    lines += table(["class", "stood in time %", "p50 ms", "p90 ms", "p99 ms", "most ms"], rows)
-    lines += ["", f"rules broken: {len(report.broken)}", *report.broken[:10]]
-    lines += [f"{one['event']}: {orjson.dumps(one).decode()}" for one in report.faults[:5]]
+    lines += table(["class", "stood in time %", "p50 ms", "p90 ms", "p99 ms", "max ms"], rows)
+    lines += ["", f"violations: {len(report.violations)}", *report.violations[:10]]
+    lines += [f"{fault['event']}: {orjson.dumps(fault).decode()}" for fault in report.faults[:5]]
     return lines
 
 
 def save(folder: Path, load: Load, report: Report, lines: list[str]) -> None:
-    """report.md and report.svg."""
+    """Write report.md and report.svg."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -219,8 +219,8 @@
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "report.md").write_text("```\n" + "\n".join(lines) + "\n```\n")
     figure, axis = pyplot.subplots(figsize=(7, 4))
-    for name, figures in report.onset_ms.items():
-        axis.plot(list(figures), list(figures.values()), "o-", label=name)
+    for name, percentiles in report.answer_delay_ms.items():
+        axis.plot(list(percentiles), list(percentiles.values()), "o-", label=name)
     axis.set_yscale("log")
     axis.set_ylabel("time to the final answer, ms")
     axis.set_title(f"{load.front}, {load.rate:g} calls/s, seed {load.seed}")
--- a/seamlb/emulator/loadcallers.py
+++ b/seamlb/emulator/loadcallers.py
@@ -1,4 +1,4 @@
-"""Poisson callers of a load on one front, and the times until their final answers."""
+"""The callers of a load test: Poisson arrivals on one front and the times until their final answers."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Callers(asyncio.DatagramProtocol):
-    """Poisson callers on one front."""
+    """Sends requests on one front as a Poisson process and records the answers."""
 
     def __init__(self, load: Load, audit: Audit, address: str) -> None:
         self.load, self.audit, self.address = load, audit, address
         self.rng = random.Random(load.seed)
         self.loop = asyncio.get_running_loop()
-        self.kinds: dict[str, tuple[str, float]] = {}
+        self.requests: dict[str, tuple[str, float]] = {}  # by call: class, time of the request
         self.results: Counter[str] = Counter()
-        self.in_time: dict[str, list[int]] = {one.name: [0, 0] for one in load.site.classes}
-        self.onset = {one.name: HdrHistogram(1, 60_000_000, 3) for one in load.site.classes}
-        self.own = ""
+        self.on_time_counts: dict[str, list[int]] = {call_class.name: [0, 0] for call_class in load.site.classes}
+        self.answer_delay_us = {call_class.name: HdrHistogram(1, 60_000_000, 3) for call_class in load.site.classes}
+        self.local_address = ""
         self.count = 0
 
     async def connect(self) -> None:
@@ -36,12 +36,12 @@
             transport, _ = await self.loop.create_datagram_endpoint(
                 lambda: self, local_addr=("127.0.0.1", 0), remote_addr=(host, int(port))
             )
-            self.own = "{}:{}".format(*transport.get_extra_info("sockname"))
+            self.local_address = "{}:{}".format(*transport.get_extra_info("sockname"))
             self.send: Callable[[bytes], None] = transport.sendto
             self.close = transport.close
         else:
             reader, writer = await asyncio.open_connection(host, int(port))
-            self.own = "{}:{}".format(*writer.get_extra_info("sockname"))
+            self.local_address = "{}:{}".format(*writer.get_extra_info("sockname"))
             self.send, self.close = writer.write, writer.close
             self.reading = self.loop.create_task(self._read(reader))
 
@@ -51,71 +51,73 @@
             framer.feed(data)
             for message in framer.messages():
                 if isinstance(message, Message):
-                    self.got(message)
+                    self.receive(message)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take one datagram."""
+        """Receive one datagram."""
         try:
-            self.got(parse_datagram(data))
+            self.receive(parse_datagram(data))
         except SipError:
             self.results["unreadable"] += 1
 
     async def run(self) -> None:
-        """Ask for calls at the rate of the load until its time is over."""
+        """Send requests at the load's rate until its duration has passed."""
         end = self.loop.time() + self.load.seconds
         due = self.loop.time()
         while due < end:
-            due += self.rng.expovariate(self.load.rate)  # open loop: late arrivals are not skipped
+            due += self.rng.expovariate(self.load.rate)  # open loop: arrivals that are late are sent, not skipped
             await asyncio.sleep(max(0.0, due - self.loop.time()))
-            self.ask()
+            self.send_request()
 
-    def ask(self) -> None:
-        """Ask for one call."""
+    def send_request(self) -> None:
+        """Send one request of a random class and office."""
         site = self.load.site
-        (kind,) = self.rng.choices([one.name for one in site.classes], [one.part for one in site.classes])
-        (office,) = self.rng.choices([one[0] for one in site.offices], [one[1] for one in site.offices])
+        (class_name,) = self.rng.choices([each.name for each in site.classes], [each.share for each in site.classes])
+        (office,) = self.rng.choices([each[0] for each in site.offices], [each[1] for each in site.offices])
         self.count += 1
-        call = f"{self.rng.getrandbits(64):016x}"  # its id and the number it calls
+        call = f"{self.rng.getrandbits(64):016x}"  # both its Call-ID and the number it calls
         now = self.loop.time()
-        self.kinds[call] = kind, now
-        self.audit.asked(now, call, kind, site.patience / 1000.0)
-        facts = [("X-Cos", kind), ("X-Timer-Ms", str(site.patience)), ("X-Operator", office)]
+        self.requests[call] = class_name, now
+        self.audit.call_requested(now, call, class_name, site.patience_ms / 1000.0)
+        custom_headers = [("X-Cos", class_name), ("X-Timer-Ms", str(site.patience_ms)), ("X-Operator", office)]
         if self.load.front == "platform":
-            facts.append(("X-Legs", f"dest:{self.rng.randrange(self.load.desks)};width:1;via:-1"))
-            head = [("Via", "SIP/2.0/TCP load"), ("Call-ID", call), ("CSeq", "1 INVITE")]
+            custom_headers.append(("X-Legs", f"dest:{self.rng.randrange(self.load.desks)};width:1;via:-1"))
+            headers = [("Via", "SIP/2.0/TCP load"), ("Call-ID", call), ("CSeq", "1 INVITE")]
         else:
             name = self.load.front.upper()
-            head = [
-                ("Via", f"SIP/2.0/{name} {self.own};branch=z9hG4bK{call};rport"),
+            headers = [
+                ("Via", f"SIP/2.0/{name} {self.local_address};branch=z9hG4bK{call};rport"),
                 ("Max-Forwards", "70"),
                 ("From", f"<sip:load@net>;tag={call}"),
                 ("To", "<sip:desk@net>"),
                 ("Call-ID", call),
                 ("CSeq", "1 INVITE"),
-                ("Contact", f"<sip:load@{self.own};transport={self.load.front}>"),
+                ("Contact", f"<sip:load@{self.local_address};transport={self.load.front}>"),
             ]
-        self.send(Message("INVITE", f"sip:{call}@net", headers=head + facts, body=b"v=0\r\n").encode())
+        self.send(Message("INVITE", f"sip:{call}@net", headers=headers + custom_headers, body=b"v=0\r\n").encode())
 
-    def got(self, message: Message) -> None:
-        """Take a message from the agent."""
+    def receive(self, message: Message) -> None:
+        """Handle a message from the agent."""
         call = message.get("call-id")
         if message.method == "BYE" and self.load.front != "platform":
             self.send(response(message, 200).encode())
         if message.status < 200 or message.cseq()[1] != "INVITE":
             return
         self.acknowledge(message, call)
-        kind, at = self.kinds.get(call, ("", 0.0))
-        if not kind:
-            return self.audit.answered(self.loop.time(), call, message.status)
+        class_name, sent_at = self.requests.get(call, ("", 0.0))
+        if not class_name:
+            return self.audit.call_answered(self.loop.time(), call, message.status)
         now = self.loop.time()
-        if self.load.front == "udp" and self.audit.calls[call].finals:
-            return  # a copy of an answer whose ACK was on its way (RFC 3261, 13.3.1.4 and 17.2.1)
-        self.audit.answered(now, call, message.status)
-        self.onset[kind].record_value(max(1, int((now - at) * 1e6)))
+        if self.load.front == "udp" and self.audit.calls[call].final_answers:
+            return  # a retransmitted final answer that crossed our ACK (RFC 3261, 13.3.1.4 and 17.2.1)
+        self.audit.call_answered(now, call, message.status)
+        self.answer_delay_us[class_name].record_value(max(1, int((now - sent_at) * 1e6)))
         self.results["stood" if message.status == 200 else str(message.status)] += 1
-        aim = next(one.on_time for one in self.load.site.classes if one.name == kind)
-        self.in_time[kind][0] += message.status == 200 and (now - at) * 1000 <= aim
-        self.in_time[kind][1] += 1
+        on_time_ms = next(
+            call_class.on_time_ms for call_class in self.load.site.classes if call_class.name == class_name
+        )
+        self.on_time_counts[class_name][0] += message.status == 200 and (now - sent_at) * 1000 <= on_time_ms
+        self.on_time_counts[class_name][1] += 1
 
     def acknowledge(self, message: Message, call: str) -> None:
         """Acknowledge a final answer."""
@@ -130,14 +132,14 @@
                 )
             return
         target = message.get("contact").partition("<")[2].partition(">")[0] or "sip:desk@net"
-        branch = "a" if message.status == 200 else ""  # an ACK to a 200 is a transaction of its own
+        branch = "a" if message.status == 200 else ""  # the ACK to a 2xx has a branch of its own
         branch = (parameter(message.get("via"), "branch") or f"z9hG4bK{call}") + branch
         self.send(
             Message(
                 "ACK",
                 target,
                 headers=[
-                    ("Via", f"SIP/2.0/{self.load.front.upper()} {self.own};branch={branch};rport"),
+                    ("Via", f"SIP/2.0/{self.load.front.upper()} {self.local_address};branch={branch};rport"),
                     ("Max-Forwards", "70"),
                     ("From", f"<sip:load@net>;tag={call}"),
                     ("To", message.get("to")),
--- a/seamlb/emulator/policies.py
+++ b/seamlb/emulator/policies.py
@@ -1,4 +1,4 @@
-"""What a solved plan is compared with: desks and weights as somebody would set them by hand."""
+"""Routing policies to compare with a solved plan: desks and weights as an operator would set them by hand."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from seamlb.planning.files import split
 from seamlb.planning.model import Flows, Plan, Problem, objective
 
-WITH = "+rules"
-NAMES = ("plan", "plan-static", "uniform", "greedy")
+RULES_SUFFIX = "+rules"
+POLICY_NAMES = ("plan", "plan-static", "uniform", "greedy")
 
 
-def policy(name: str, problem: Problem, solved: Plan, rules: str = "") -> Policy:
-    """One of NAMES, with "+rules" behind it to run the experiment's rules; ValueError for any other."""
-    if name.endswith(WITH):
-        return replace(policy(name.removesuffix(WITH), problem, solved), name=name, rules=rules)
+def make_policy(name: str, problem: Problem, solved: Plan, rules: str = "") -> Policy:
+    """Build a policy of `POLICY_NAMES`; the suffix "+rules" adds the experiment's rules. ValueError: unknown name."""
+    if name.endswith(RULES_SUFFIX):
+        return replace(make_policy(name.removesuffix(RULES_SUFFIX), problem, solved), name=name, rules=rules)
     match name:
         case "plan":
-            return Policy(name, solved, mended=True)
+            return Policy(name, solved, repairs_plan=True)
         case "plan-static":
-            return Policy(name, solved, mended=False)
+            return Policy(name, solved, repairs_plan=False)
         case "uniform":
-            return Policy(name, uniform(problem), mended=False)
+            return Policy(name, uniform(problem), repairs_plan=False)
         case "greedy":
-            return Policy(name, greedy(problem), mended=False)
-    raise ValueError(f"unknown policy {name!r}; there are {', '.join(NAMES)}")
+            return Policy(name, greedy(problem), repairs_plan=False)
+    raise ValueError(f"unknown policy {name!r}; known policies: {', '.join(POLICY_NAMES)}")
 
 
 def _plan(problem: Problem, routes: Counter[tuple[str, str, str]], placement: frozenset[tuple[str, str]]) -> Plan:
@@ -35,46 +35,49 @@
     return Plan(placement, Flows(flows.supply, dict(routes)), objective(problem, placement, flows), "stopped")
 
 
-def wanted(problem: Problem) -> Counter[tuple[str, str]]:
-    """Units of demand by class and district."""
-    out: Counter[tuple[str, str]] = Counter()
+def units_by_class_and_district(problem: Problem) -> Counter[tuple[str, str]]:
+    """Sum the demand units of all offices by class and district."""
+    totals: Counter[tuple[str, str]] = Counter()
     for (kind, district, _), units in problem.demand.items():
-        out[kind, district] += units
-    return out
+        totals[kind, district] += units
+    return totals
 
 
 def uniform(problem: Problem) -> Plan:
-    """Every desk open with all its skills, and the same weight for each."""
+    """Open every desk with all its skills, and give all of a class's desks the same weight."""
     placement = frozenset((d.name, k) for d in problem.desks for k in problem.kind if problem.allowed(d, k))
     routes: Counter[tuple[str, str, str]] = Counter()
-    for (kind, district), units in sorted(wanted(problem).items()):
-        desks = {desk: 1 for desk, given in sorted(placement) if given == kind}
-        for desk, part in split(units, desks).items() if desks else ():
-            routes[kind, district, desk] += part
+    for (kind, district), units in sorted(units_by_class_and_district(problem).items()):
+        desks = {desk: 1 for desk, skill in sorted(placement) if skill == kind}
+        for desk, share in split(units, desks).items() if desks else ():
+            routes[kind, district, desk] += share
     return _plan(problem, routes, placement)
 
 
 def greedy(problem: Problem) -> Plan:
-    """By hand: the dearest class first, each district's calls to the nearest desk that has room left."""
-    given: dict[str, set[str]] = {name: set(desk.pinned) for name, desk in problem.desk.items()}
-    load: Counter[str] = Counter()
+    """Place the most valuable class first; each district's calls go to the nearest desk with spare capacity."""
+    assigned: dict[str, set[str]] = {name: set(desk.pinned) for name, desk in problem.desk.items()}
+    assigned_units: Counter[str] = Counter()
     routes: Counter[tuple[str, str, str]] = Counter()
-    order = sorted(wanted(problem).items(), key=lambda one: (-problem.kind[one[0][0]].value, one[0]))
+    order = sorted(
+        units_by_class_and_district(problem).items(),
+        key=lambda item: (-problem.kind[item[0][0]].value, item[0]),
+    )
     for (kind, district), units in order:
-        near = sorted(problem.desks, key=lambda d: (problem.time(district, d.district), -d.agents, d.name))
-        for desk in near:
-            name, after = desk.name, given[desk.name] | {kind}
-            if not problem.allowed(desk, kind) or (desk.most_classes and len(after) > desk.most_classes):
+        by_distance = sorted(problem.desks, key=lambda d: (problem.time(district, d.district), -d.agents, d.name))
+        for desk in by_distance:
+            name, extended = desk.name, assigned[desk.name] | {kind}
+            if not problem.allowed(desk, kind) or (desk.most_classes and len(extended) > desk.most_classes):
                 continue
-            room = problem.capacity(name, after) - load[name]
-            if (part := min(units, room)) > 0:
-                given[name], units = after, units - part
-                load[name] += part
-                routes[kind, district, name] += part
-    for one in sorted(problem.kinds, key=lambda k: k.name):  # redundancy, by the largest desks
+            spare_units = problem.capacity(name, extended) - assigned_units[name]
+            if (placed := min(units, spare_units)) > 0:
+                assigned[name], units = extended, units - placed
+                assigned_units[name] += placed
+                routes[kind, district, name] += placed
+    for call_class in sorted(problem.kinds, key=lambda k: k.name):  # redundancy: the largest desks first
         for desk in sorted(problem.desks, key=lambda d: (-d.agents, d.name)):
-            stands = [name for name, kinds in given.items() if one.name in kinds]
-            if len(stands) < one.desks and problem.allowed(desk, one.name):
-                given[desk.name].add(one.name)
-    placement = frozenset((name, kind) for name, kinds in given.items() for kind in kinds)
+            holders = [name for name, kinds in assigned.items() if call_class.name in kinds]
+            if len(holders) < call_class.desks and problem.allowed(desk, call_class.name):
+                assigned[desk.name].add(call_class.name)
+    placement = frozenset((name, kind) for name, kinds in assigned.items() for kind in kinds)
     return _plan(problem, routes, placement)
--- a/seamlb/emulator/run.py
+++ b/seamlb/emulator/run.py
@@ -1,4 +1,4 @@
-"""One run: a planning problem played with a policy and a scenario, and what was carried of it."""
+"""One emulated run: plays a planning problem with a policy and a scenario, and measures the worth carried."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from seamlb import api, log
 from seamlb.emulator import clock
 from seamlb.emulator.scenario import (
-    LATE,
+    LATE_WORTH,
+    DeskFault,
     Policy,
     Result,
     Scenario,
-    Trouble,
-    kinds,
-    offices,
-    settings,
+    agent_settings,
+    sorted_classes,
+    sorted_offices,
 )
-from seamlb.emulator.standin import StandinDesk, stream
-from seamlb.emulator.world import REPORT_EVERY, EmulatedDesks, Person
+from seamlb.emulator.standin import SimulatedDesk, make_rng
+from seamlb.emulator.world import REPORT_INTERVAL_S, EmulatedDesks, SimulatedCaller
 from seamlb.planning.draw import StickyDraw
 from seamlb.planning.follow import Followed, Guide
 from seamlb.planning.model import PERMILLE, Problem, weights
@@ -31,236 +31,236 @@
 from seamlb.routing.agent import Agent
 from seamlb.routing.model import Desk, Request
 
-PATIENCE = 0.35  # of the class's deadline, for one try
-NUMBERS = 2000  # that are called
-DRAIN = 30.0  # seconds after the last arrival
+PATIENCE_SHARE = 0.35  # how long a caller waits in one try, as a share of the class's deadline
+NUMBER_COUNT = 2000  # distinct called numbers
+DRAIN_S = 30.0  # after the last arrival
 
 
 class World:
-    """All of one run's agents, desks and callers."""
+    """The agents, desks and callers of one run."""
 
     def __init__(self, problem: Problem, policy: Policy, scenario: Scenario, seed: int, seconds: float) -> None:
         self.problem, self.policy, self.scenario, self.seed = problem, policy, scenario, seed
-        self.until, self.redials = seconds, 3
+        self.arrivals_end, self.max_redials = seconds, 3
         self.loop = asyncio.get_running_loop()
-        self.people: list[Person] = []
-        self.broken: list[str] = []
+        self.callers: list[SimulatedCaller] = []
+        self.violations: list[str] = []
         self.late = 0
-        self.cells = {name: place for place, name in enumerate(sorted(problem.desk))}
-        self.since = dict.fromkeys(self.cells, 0.0)
-        self.phase = dict.fromkeys(self.cells, api.Availability.READY)
-        opened = {desk for desk, _ in policy.plan.placement}
-        contract = settings(problem, 1, 0).contract
+        self.cells = {name: index for index, name in enumerate(sorted(problem.desk))}
+        self.up_since = dict.fromkeys(self.cells, 0.0)  # ms
+        self.availability = dict.fromkeys(self.cells, api.Availability.READY)
+        open_desks = {desk for desk, _ in policy.plan.placement}
+        contract = agent_settings(problem, 1, 0).contract
         self.desks = {
-            name: StandinDesk(name, one.agents, one.rate_milli / 1000.0, contract, stream(seed, "desk", name))
-            for name, one in sorted(problem.desk.items())
-            if name in opened
+            name: SimulatedDesk(name, desk.agents, desk.rate_milli / 1000.0, contract, make_rng(seed, "desk", name))
+            for name, desk in sorted(problem.desk.items())
+            if name in open_desks
         }
-        for name, one in self.desks.items():
+        for name, simulated in self.desks.items():
             if problem.desk[name].cold:
-                one.restart()
-                self.since[name] = 1.0
+                simulated.restart()
+                self.up_since[name] = 1.0
         self.agents: dict[str, Agent] = {}
         self.clients: dict[str, EmulatedDesks] = {}
-        for place, district in enumerate(sorted(problem.districts)):
-            self._agent(place, district)
-        self.usual = {pair: StickyDraw(units) for pair, units in weights(problem, policy.plan.flows).items()}
-        spread: dict[str, Counter[str]] = defaultdict(Counter)
+        for index, district in enumerate(sorted(problem.districts)):
+            self._add_agent(index, district)
+        self.district_draws = {pair: StickyDraw(units) for pair, units in weights(problem, policy.plan.flows).items()}
+        totals: dict[str, Counter[str]] = defaultdict(Counter)
         for (kind, _), units in weights(problem, policy.plan.flows).items():
-            spread[kind].update(units)
+            totals[kind].update(units)
         for desk, kind in sorted(policy.plan.placement):
-            spread[kind].setdefault(desk, 0)
-        self.anywhere = {kind: StickyDraw({d: u or 1 for d, u in one.items()}) for kind, one in spread.items()}
+            totals[kind].setdefault(desk, 0)
+        self.class_draws = {kind: StickyDraw({d: u or 1 for d, u in units.items()}) for kind, units in totals.items()}
 
     def now(self) -> float:
         """The virtual time in milliseconds."""
         return self.loop.time() * 1000.0
 
-    def _agent(self, place: int, district: str) -> None:
+    def _add_agent(self, index: int, district: str) -> None:
         problem, policy = self.problem, self.policy
-        told = settings(problem, len(problem.districts), place)
+        settings = agent_settings(problem, len(problem.districts), index)
         pools = {
             k.name: frozenset(self.cells[d] for d, kind in policy.plan.placement if kind == k.name)
             for k in problem.kinds
         }
-        told = replace(told, classes=tuple(replace(c, pools=pools[c.name] or None) for c in told.classes))
-        guide = None
-        if policy.mended:
-            guide = Guide(told, tuple(o.name for o in offices(problem)))
-            guide.adopt(0.0, Followed(problem, policy.plan, district))
-        advisor = self._advisor(told) if policy.rules else None
-        agent = Agent(told, self.seed * 1000 + place, clock=self.now, steering=guide, advisor=advisor)
-        client = EmulatedDesks(lambda desk: self.far(district, desk), self.holding)
+        settings = replace(settings, classes=tuple(replace(c, pools=pools[c.name] or None) for c in settings.classes))
+        steering = None
+        if policy.repairs_plan:
+            steering = Guide(settings, tuple(o.name for o in sorted_offices(problem)))
+            steering.adopt(0.0, Followed(problem, policy.plan, district))
+        advisor = self._advisor(settings) if policy.rules else None
+        agent = Agent(settings, self.seed * 1000 + index, clock=self.now, steering=steering, advisor=advisor)
+        client = EmulatedDesks(lambda desk: self.one_way_delay(district, desk), self.holding)
         client.desks = self.desks
         agent.desks = client
         self.agents[district], self.clients[district] = agent, client
 
-    def _advisor(self, told: api.Settings) -> PluginAdvisor:
+    def _advisor(self, settings: api.Settings) -> PluginAdvisor:
         program = compile_text(self.policy.rules)
-        names = [one.name for one in offices(self.problem)]
-        top = max(told.classes, key=lambda kind: kind.worth).name
+        names = [office.name for office in sorted_offices(self.problem)]
+        top_class = max(settings.classes, key=lambda kind: kind.worth).name
         chain = Chain(
             20_000,
             1.0,
-            [kind.name for kind in told.classes],
+            [kind.name for kind in settings.classes],
             names,
-            top,
-            max(kind.deadline for kind in told.classes),
+            top_class,
+            max(kind.deadline for kind in settings.classes),
             lambda name, facts: None,
             lambda: 0.0,
         )
         chain.load(0.0, Plugin(program, Interpreter(program), Grant(most=1.0)))
-        for name, of in self.scenario.states:
-            chain.set_state(name, of, True)
-        return PluginAdvisor(chain, told, names, self.now)
+        for name, subject in self.scenario.states:
+            chain.set_state(name, subject, True)
+        return PluginAdvisor(chain, settings, names, self.now)
 
-    def far(self, district: str, desk: str) -> float:
-        """Seconds that a message takes between a district and a server."""
+    def one_way_delay(self, district: str, desk: str) -> float:
+        """Seconds that a message takes between a district and a desk."""
         return self.problem.time(district, self.problem.desk[desk].district) / 1e6 + 0.0005
 
     def holding(self, request: Request, desk: str) -> float:
-        """Mean seconds: longer where the class is the desk's second choice."""
+        """Mean holding time in seconds; longer if the class is the desk's second choice."""
         mean = self.problem.kind[request.class_name].holding_ms / 1000.0
         second = request.class_name in self.problem.desk[desk].second
         return mean * self.problem.second_choice / PERMILLE if second else mean
 
-    # -- the day ----------------------------------------------------------------------------------
+    # -- events of the run ------------------------------------------------------------------------
 
-    def push(self) -> None:
-        """The list as it is, told to every agent."""
+    def push_list(self) -> None:
+        """Send the current server list to every agent."""
         listed = [
-            Desk(name, "", 0, self.cells[name], self.phase[name], self.since[name])
+            Desk(name, "", 0, self.cells[name], self.availability[name], self.up_since[name])
             for name in self.desks
-            if self.phase[name] != api.Availability.GONE
+            if self.availability[name] != api.Availability.GONE
         ]
         for agent in self.agents.values():
             agent.list_changed(api.Scope.FULL, listed)
 
-    def trouble(self, one: Trouble) -> None:
-        """Begin one trouble of the scenario."""
-        desk = self.desks.get(one.desk)
+    def inject_fault(self, fault: DeskFault) -> None:
+        """Start one fault of the scenario, or end it."""
+        desk = self.desks.get(fault.desk)
         if desk is None:
-            return  # this policy never opened it
-        lag = self.scenario.list_lag
-        match one.what:
+            return  # the policy does not open this desk
+        lag = self.scenario.list_lag_s
+        match fault.kind:
             case "crash":
                 desk.crash()
-                self.loop.call_later(lag, self._list, one.desk, api.Availability.GONE, self.since[one.desk])
+                self.loop.call_later(lag, self._relist, fault.desk, api.Availability.GONE, self.up_since[fault.desk])
             case "return":
                 desk.restart()
-                self.loop.call_later(lag, self._list, one.desk, api.Availability.READY, self.now())
+                self.loop.call_later(lag, self._relist, fault.desk, api.Availability.READY, self.now())
             case "drain":
-                self._list(one.desk, api.Availability.DRAINING, self.since[one.desk])
+                self._relist(fault.desk, api.Availability.DRAINING, self.up_since[fault.desk])
             case "hang" | "wake":
-                desk.hang(one.what == "hang")
+                desk.hang(fault.kind == "hang")
             case _:
-                desk.slow = one.factor
+                desk.slowdown = fault.factor
 
-    def _list(self, name: str, phase: api.Availability, since: float) -> None:
-        self.phase[name], self.since[name] = phase, since
-        self.push()
+    def _relist(self, name: str, availability: api.Availability, up_since: float) -> None:
+        self.availability[name], self.up_since[name] = availability, up_since
+        self.push_list()
 
-    async def _reports(self, desk: StandinDesk, district: str) -> None:
-        rng, far = stream(self.seed, "report", desk.name, district), self.far(district, desk.name)
+    async def _send_reports(self, desk: SimulatedDesk, district: str) -> None:
+        rng, delay = make_rng(self.seed, "report", desk.name, district), self.one_way_delay(district, desk.name)
         while True:
-            await asyncio.sleep(float(rng.uniform(*REPORT_EVERY)))
-            if desk.up and not desk.hung:
-                self.loop.call_later(far, self.agents[district].report_received, desk.name, desk.report())
+            await asyncio.sleep(float(rng.uniform(*REPORT_INTERVAL_S)))
+            if desk.running and not desk.hung:
+                self.loop.call_later(delay, self.agents[district].report_received, desk.name, desk.report())
 
     async def _steer(self, agent: Agent) -> None:
         while True:
             await asyncio.sleep(0.25)
             agent.apply_steering()
 
-    async def _callers(self, cell: tuple[str, str, str], number: int) -> None:
+    async def _generate_calls(self, demand_cell: tuple[str, str, str], stream_number: int) -> None:
         """Poisson arrivals of one class, district and office."""
-        kind, district, office = cell
-        day = self.scenario
-        load = day.load * day.offices.get(office, 1.0) * day.districts.get(district, 1.0)
-        rate = load * self.problem.demand[cell] * self.problem.grain / self.problem.kind[kind].holding_ms
-        rng = stream(self.seed, "callers", *cell)
-        place = [k.name for k in kinds(self.problem)].index(kind)
-        tenant = [o.name for o in offices(self.problem)].index(office)
+        kind, district, office = demand_cell
+        scenario = self.scenario
+        load = scenario.load * scenario.offices.get(office, 1.0) * scenario.districts.get(district, 1.0)
+        rate = load * self.problem.demand[demand_cell] * self.problem.grain / self.problem.kind[kind].holding_ms
+        rng = make_rng(self.seed, "callers", *demand_cell)
+        class_index = [k.name for k in sorted_classes(self.problem)].index(kind)
+        tenant_index = [o.name for o in sorted_offices(self.problem)].index(office)
         count = 0
         while rate > 0.0:
             await asyncio.sleep(float(rng.exponential(1.0 / rate)))
-            if self.loop.time() >= self.until:
+            if self.loop.time() >= self.arrivals_end:
                 return
             count += 1
-            called = f"{int(rng.integers(NUMBERS))}"
-            draw = self.usual.get((kind, district)) or self.anywhere.get(kind)
+            called = f"{int(rng.integers(NUMBER_COUNT))}"
+            draw = self.district_draws.get((kind, district)) or self.class_draws.get(kind)
             desk = draw.pick(called.encode()) if draw else None
-            deadline = self.agents[district].settings.classes[place].deadline
+            deadline = self.agents[district].settings.classes[class_index].deadline
             request = Request(
-                f"{number:03x}{count:013x}",
-                place,
+                f"{stream_number:03x}{count:013x}",
+                class_index,
                 kind,
-                tenant,
+                tenant_index,
                 called,
-                PATIENCE * deadline,
+                PATIENCE_SHARE * deadline,
                 self.cells[desk] if desk else 0,
                 tenant_name=office,
             )
-            own = stream(self.seed, "person", number, count)
-            person = Person(self, self.agents[district], request, self.loop.time(), own)
-            self.people.append(person)
-            person.call()
+            caller_rng = make_rng(self.seed, "person", stream_number, count)
+            caller = SimulatedCaller(self, self.agents[district], request, self.loop.time(), caller_rng)
+            self.callers.append(caller)
+            caller.place_call()
 
     async def play(self) -> Result:
-        """Play the run to its end."""
-        self.push()
-        for one in self.scenario.troubles:
-            self.loop.call_later(one.at, self.trouble, one)
+        """Run to the end and return the result."""
+        self.push_list()
+        for fault in self.scenario.faults:
+            self.loop.call_later(fault.at_s, self.inject_fault, fault)
         tasks = [
-            self.loop.create_task(self._reports(desk, district))
+            self.loop.create_task(self._send_reports(desk, district))
             for desk in self.desks.values()
             for district in self.agents
         ]
         tasks += [self.loop.create_task(self._steer(agent)) for agent in self.agents.values()]
         cells = self.problem.cells
-        arrivals = [self.loop.create_task(self._callers(cell, place)) for place, cell in enumerate(cells)]
-        await asyncio.sleep(self.until + DRAIN)
+        arrivals = [self.loop.create_task(self._generate_calls(cell, index)) for index, cell in enumerate(cells)]
+        await asyncio.sleep(self.arrivals_end + DRAIN_S)
         for task in (*tasks, *arrivals, *(t for a in self.agents.values() for t in a.tasks)):
             task.cancel()
         await asyncio.gather(*tasks, *arrivals, return_exceptions=True)
         return self.result()
 
     def result(self) -> Result:
-        """What the run has come to."""
-        # Every class has its figure, also one without a call in a short run.
-        got = {name: [0.0, 0.0] for name in ("", *(k.name for k in kinds(self.problem)))}
-        rooms = {name: [0.0, 0.0] for name in (o.name for o in self.problem.offices)}
-        for person in self.people:
-            kind = self.problem.kind[person.request.class_name]
+        """Compute the figures of the run."""
+        # Every class has a figure, even one without a call in a short run.
+        class_worth = {name: [0.0, 0.0] for name in ("", *(k.name for k in sorted_classes(self.problem)))}
+        office_worth = {name: [0.0, 0.0] for name in (o.name for o in self.problem.offices)}
+        for caller in self.callers:
+            kind = self.problem.kind[caller.request.class_name]
             worth = 0.0
-            if person.stood is not None and not person.cut:
-                worth = kind.worth * (1.0 if person.stood * 1000.0 <= (kind.wanted_ms or 5000) else LATE)
-            office = offices(self.problem)[person.request.tenant].name
-            for sums in (got[""], got[kind.name], rooms[office]):
+            if caller.setup_s is not None and not caller.cut_off:
+                worth = kind.worth * (1.0 if caller.setup_s * 1000.0 <= (kind.wanted_ms or 5000) else LATE_WORTH)
+            office = sorted_offices(self.problem)[caller.request.tenant].name
+            for sums in (class_worth[""], class_worth[kind.name], office_worth[office]):
                 sums[0] += worth
                 sums[1] += kind.worth
-            if len(person.answers) > 1:
-                self.broken.append(f"{person.request.ident}: {person.answers}")
-        part = {name: won / offered if offered else 1.0 for name, (won, offered) in got.items()}
-        shares = {name: won / offered if offered else 1.0 for name, (won, offered) in rooms.items()}
-        classes = {name: value for name, value in part.items() if name}
+            if len(caller.answers) > 1:
+                self.violations.append(f"{caller.request.ident}: {caller.answers}")
+        class_shares = {name: won / offered if offered else 1.0 for name, (won, offered) in class_worth.items()}
+        office_shares = {name: won / offered if offered else 1.0 for name, (won, offered) in office_worth.items()}
+        classes = {name: value for name, value in class_shares.items() if name}
         return Result(
-            part.get("", 1.0),
+            class_shares.get("", 1.0),
             min(classes.values(), default=1.0),
-            min(shares.values(), default=1.0),
+            min(office_shares.values(), default=1.0),
             self.problem.cost(self.policy.plan.placement),
-            len(self.people),
-            sum(c.sent for c in self.clients.values()),
-            sum(d.fallen for d in self.desks.values()),
+            len(self.callers),
+            sum(client.attempts for client in self.clients.values()),
+            sum(desk.overload_crashes for desk in self.desks.values()),
             self.late,
-            tuple(self.broken + [one for c in self.clients.values() for one in c.broken]),
+            tuple(self.violations + [line for client in self.clients.values() for line in client.violations]),
             classes,
-            shares,
+            office_shares,
         )
 
 
 def emulate(problem: Problem, policy: Policy, scenario: Scenario, seed: int, seconds: float) -> Result:
-    """Play one run on a virtual clock; the same arguments always give the same result."""
+    """Play one run on a virtual clock; equal arguments give equal results."""
 
     async def main() -> Result:
         return await World(problem, policy, scenario, seed, seconds).play()
--- a/seamlb/emulator/world.py
+++ b/seamlb/emulator/world.py
@@ -1,9 +1,9 @@
-"""Stand-ins: duty desks behind the DeskClient protocol, callers who redial and give up, a list that lags.
+"""Simulated peers of an agent: desks behind the DeskClient protocol, and callers who redial and give up.
 
-A desk's processor is one line that works at `rate` set-ups a second; answers and releases go ahead of set-ups. A
-set-up that would wait too long is turned away, which costs work too. A desk that comes up is cold, and falls over
-when more than `fall_multiple` times what it can do is sent to it for `fall` ms. All randomness comes from numpy
-generators, one stream a part, so that a change in one part leaves the others' draws alone.
+A desk's processor is a single queue that serves `rate` set-ups per second; answers and releases take priority over
+set-ups. A set-up that would wait too long is rejected, which costs work too. A desk that has just started is cold,
+and crashes when it gets more than `fall_multiple` times its current rate for `fall` ms. Each part of the simulation
+has a numpy generator of its own, so a change in one part does not alter the random numbers of the others.
 """
 
 from __future__ import annotations
@@ -15,125 +15,125 @@
 
 import numpy
 
-from seamlb.emulator.standin import Job, StandinDesk
+from seamlb.emulator.standin import Job, SimulatedDesk
 from seamlb.routing.agent import Agent, CallSession
 from seamlb.routing.model import Answer, Attempt, AttemptCallback, Desk, Outcome, Request
 
-REPORT_EVERY = (0.11, 0.59)  # seconds between a desk's unasked reports
+REPORT_INTERVAL_S = (0.11, 0.59)  # between a desk's unsolicited reports, uniform
 
 
 class EmulatedDesks:
-    """One agent's way to the desks (DeskClient)."""
+    """One agent's connections to the desks (DeskClient)."""
 
-    def __init__(self, far: Callable[[str], float], holding: Callable[[Request, str], float]) -> None:
-        self.far, self.holding = far, holding
-        self.desks: dict[str, StandinDesk] = {}
-        self.jobs: dict[tuple[str, int], tuple[Job, StandinDesk]] = {}
-        self.sent = 0
-        self.out: set[str] = set()  # requests with an attempt out
-        self.broken: list[str] = []
+    def __init__(self, one_way_delay: Callable[[str], float], holding: Callable[[Request, str], float]) -> None:
+        self.one_way_delay, self.holding = one_way_delay, holding
+        self.desks: dict[str, SimulatedDesk] = {}
+        self.jobs: dict[tuple[str, int], tuple[Job, SimulatedDesk]] = {}
+        self.attempts = 0
+        self.open_requests: set[str] = set()  # ids of requests with an open attempt
+        self.violations: list[str] = []
 
     def desk_changed(self, desk: Desk) -> None:
-        """Nothing is kept of the list: an attempt names its desk."""
+        """Nothing to do: each attempt names its desk."""
 
-    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
-        """Start an attempt; it arrives after the way to its server."""
-        desk, far = self.desks[attempt.desk], self.far(attempt.desk)
+    def set_up(self, attempt: Attempt, callback: AttemptCallback) -> None:
+        """Start an attempt; it arrives after the one-way delay to its desk."""
+        desk, one_way_delay = self.desks[attempt.desk], self.one_way_delay(attempt.desk)
         key = attempt.request.ident, attempt.leg
-        if attempt.request.ident in self.out:
-            self.broken.append(f"{attempt.request.ident}: two attempts out")
-        self.out.add(attempt.request.ident)
-        job = Job(attempt, heard, far)
+        if attempt.request.ident in self.open_requests:
+            self.violations.append(f"{attempt.request.ident}: two attempts at once")
+        self.open_requests.add(attempt.request.ident)
+        job = Job(attempt, callback, one_way_delay)
         self.jobs[key] = job, desk
-        self.sent += 1
+        self.attempts += 1
 
-        def ended(leg: int, what: Answer | Outcome) -> None:
-            if isinstance(what, Outcome):
+        def attempt_event(leg: int, event: Answer | Outcome) -> None:
+            if isinstance(event, Outcome):
                 self.jobs.pop(key, None)
-                self.out.discard(attempt.request.ident)
-            heard(leg, what)
+                self.open_requests.discard(attempt.request.ident)
+            callback(leg, event)
 
-        job.heard = ended
+        job.callback = attempt_event
         holding = self.holding(attempt.request, attempt.desk)
-        asyncio.get_running_loop().call_later(far, desk.arrive, job, holding)
+        asyncio.get_running_loop().call_later(one_way_delay, desk.receive_setup, job, holding)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Call an attempt off."""
+        """Cancel an attempt."""
         if found := self.jobs.pop((attempt.request.ident, attempt.leg), None):
             job, desk = found
-            self.out.discard(attempt.request.ident)
-            asyncio.get_running_loop().call_later(job.far, desk.leave, job)
+            self.open_requests.discard(attempt.request.ident)
+            asyncio.get_running_loop().call_later(job.delay_s, desk.abandon, job)
 
     def release(self, attempt: Attempt, cause: int) -> None:
-        """End a call that stands."""
+        """Release an established call."""
         self.cancel(attempt)
 
     def close_idle(self, desk: str) -> None:
-        """There are no connections."""
+        """Nothing to do: there are no connections."""
 
 
 @dataclass(slots=True)
-class Person:
-    """One who calls, redials and gives up; the Caller of each of its tries."""
+class SimulatedCaller:
+    """A person who calls, redials and gives up; the Caller of each of its tries."""
 
     world: Any
     agent: Agent
     request: Request
-    first: float  # when it first tried
+    first_try_at: float  # loop time in seconds
     rng: numpy.random.Generator
     tries: int = 1
-    life: CallSession | None = None
+    session: CallSession | None = None
     timer: asyncio.TimerHandle | None = None
-    stood: float | None = None  # seconds from the first try
-    cut: bool = False
-    answers: list[str] = field(default_factory=list)  # of this try: never more than one
+    setup_s: float | None = None  # from the first try to the established call
+    cut_off: bool = False
+    answers: list[str] = field(default_factory=list)  # final answers of this try: at most one is allowed
 
-    def call(self) -> None:
-        """Ask the agent for the call."""
+    def place_call(self) -> None:
+        """Request the call from the agent."""
         self.answers.clear()
-        self.life = self.agent.accept(self.request, self)
-        if self.life is not None:
+        self.session = self.agent.accept(self.request, self)
+        if self.session is not None:
             loop = asyncio.get_running_loop()
-            self.timer = loop.call_later(self.request.patience_ms / 1000.0, self._left)
+            self.timer = loop.call_later(self.request.patience_ms / 1000.0, self._give_up)
 
-    def _left(self) -> None:
+    def _give_up(self) -> None:
         self.timer = None
-        if self.life and not self.life.answered:
+        if self.session and not self.session.answered:
             self.world.late += 1
-            self.agent.caller_hung_up(self.life)
-            self._again(0.0)
+            self.agent.caller_hung_up(self.session)
+            self._retry(0.0)
 
-    def _over(self, answer: str) -> None:
+    def _final_answer(self, answer: str) -> None:
         self.answers.append(answer)
         if len(self.answers) > 1:
-            self.world.broken.append(f"{self.request.ident}: two final answers {self.answers}")
+            self.world.violations.append(f"{self.request.ident}: two final answers {self.answers}")
         if self.timer:
             self.timer.cancel()
             self.timer = None
 
     def established(self, description: bytes) -> bool:
-        """The call stands."""
-        self._over("stands")
-        self.stood = asyncio.get_running_loop().time() - self.first
+        """The call is established."""
+        self._final_answer("established")
+        self.setup_s = asyncio.get_running_loop().time() - self.first_try_at
         return True
 
     def refused(self, back_off_ms: float) -> None:
-        """The call was refused; the person may try again later."""
-        self._over("refused")
-        self._again(back_off_ms / 1000.0)
+        """The call was refused; the caller may try again after `back_off_ms`."""
+        self._final_answer("refused")
+        self._retry(back_off_ms / 1000.0)
 
     def failed(self) -> None:
-        """The call failed; the person may try again."""
-        self._over("failed")
-        self._again(0.0)
+        """The call failed; the caller may try again."""
+        self._final_answer("failed")
+        self._retry(0.0)
 
     def released(self, cause: int) -> None:
-        """The call that stood is over."""
-        self.cut = cause != 16
+        """The established call ended; any cause but 16 (normal clearing) means that it was cut off."""
+        self.cut_off = cause != 16
 
-    def _again(self, wait: float) -> None:
+    def _retry(self, wait_s: float) -> None:
         loop = asyncio.get_running_loop()
-        wait += float(self.rng.uniform(0.5, 2.0))
-        if self.tries <= self.world.redials and loop.time() < self.world.until:
+        wait_s += float(self.rng.uniform(0.5, 2.0))
+        if self.tries <= self.world.max_redials and loop.time() < self.world.arrivals_end:
             self.tries += 1
-            loop.call_later(wait, self.call)
+            loop.call_later(wait_s, self.place_call)
--- a/tests/soak/board.py
+++ b/tests/soak/board.py
@@ -55,7 +55,7 @@
     async def _counts_as_told(self, name: str) -> None:
         await self.awake.wait()
         for agent in range(self.agents):
-            self.record.audit.drains(self.loop.time(), f"{name}@{agent}")
+            self.record.audit.drain_announced(self.loop.time(), f"{name}@{agent}")
 
     def known(self, agent: int) -> dict[str, Any]:
         """The whole list, as a configuration has it."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from seamlb.emulator.audit import SLACK
+from seamlb.emulator.audit import SLACK_S
 from seamlb.protocol.sip import Message, response
 from tests.loopback import bye, invite, sip_request
 from tests.soak.agents import AgentProcesses
@@ -116,8 +116,8 @@
                 continue
             del self.waiting[ident]
             self.record.note(ident, "caller", f"connection ended, {now - one.sent:.3f} s after the set-up")
-            if now - one.sent <= CROSSES + SLACK and not one.again:
-                self.record.audit.gave_up(now, ident)
+            if now - one.sent <= CROSSES + SLACK_S and not one.again:
+                self.record.audit.caller_left(now, ident)
                 self._count("crossed")
                 self._spawn(self._ask(one.agent, again=True))
 
@@ -133,7 +133,7 @@
         )
         self.waiting[ident] = Waiting(agent, wire, now, kind, patience, again)
         self.asked_of[ident] = agent, now
-        self.record.audit.asked(now, ident, kind, patience)
+        self.record.audit.call_requested(now, ident, kind, patience)
         self.record.note(ident, "caller", f"set-up to agent {agent.number}, waits {patience:.3f} s")
         wire.send(message.encode())
         self._count("asked")
@@ -153,7 +153,7 @@
         """Give a set-up up."""
         if one := self.waiting.pop(ident, None):
             self.record.note(ident, "caller", "CANCEL")
-            self.record.audit.gave_up(self.loop.time(), ident)
+            self.record.audit.caller_left(self.loop.time(), ident)
             one.wire.send(sip_request("CANCEL", ident).encode())
             self._count("left")
 
@@ -161,7 +161,7 @@
         ident, now = message.get("call-id"), self.loop.time()
         if message.method == "BYE":
             self.record.note(ident, "caller", "BYE came")
-            self.record.audit.released(now, ident)
+            self.record.audit.call_released(now, ident)
             self.standing.pop(ident, None)
             wire.send(response(message, 200).encode())
         elif message.status >= 200 and message.cseq()[1] == "INVITE":
@@ -172,9 +172,9 @@
         self.record.note(ident, "caller", str(status))
         wire.send(sip_request("ACK", ident).encode())
         one = self.waiting.pop(ident, None)
-        if one is None and self.record.audit.calls[ident].left <= now:
+        if one is None and self.record.audit.calls[ident].left_at <= now:
             return  # it crossed our CANCEL
-        self.record.audit.answered(now, ident, status)
+        self.record.audit.call_answered(now, ident, status)
         self._count(str(status))
         if status == 200 and one:
             self.standing[ident] = one.agent
@@ -186,7 +186,7 @@
         wire = next((one for one in self.wires[agent.number] if one.open), None) if agent else None
         if wire:
             self.record.note(ident, "caller", "releases")
-            self.record.audit.released(self.loop.time(), ident, by_caller=True)
+            self.record.audit.call_released(self.loop.time(), ident, by_caller=True)
             wire.send(bye(ident, 16).encode())
             del self.standing[ident]
 
@@ -207,13 +207,13 @@
         cast(asyncio.Transport, wire.transport).pause_reading()
         await asyncio.sleep(STAY)
         self.waiting.pop(ident, None)
-        self.record.audit.gave_up(self.loop.time(), ident)
+        self.record.audit.caller_left(self.loop.time(), ident)
         wire.close(reset=True)
 
     async def _goes(self, ident: str, wire: Wire) -> None:
         await asyncio.sleep(self.rng.uniform(0.02, 0.3))
         if self.waiting.pop(ident, None):
             self.record.note(ident, "caller", "closes")
-            self.record.audit.gave_up(self.loop.time(), ident)
+            self.record.audit.caller_left(self.loop.time(), ident)
             self._count("left")
         wire.close()
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from pathlib import Path
 
-from seamlb.emulator.audit import SLACK, Audit, Violation
+from seamlb.emulator.audit import SLACK_S, Audit, Violation
 
 LOOK = 0.005  # seconds between two looks at the clock
 BEFORE = 4.0  # seconds before a violation in which a late observer may have caused it
@@ -38,12 +38,12 @@
             await asyncio.sleep(LOOK)
             late = self.loop.time() - due
             self.latest = max(self.latest, late)
-            if late > SLACK:
+            if late > SLACK_S:
                 self.late.append((due, late))
 
     def disturbed(self, one: Violation) -> bool:
         """Was this process late by more than the slack just then, so that it may be what broke the bound?"""
-        return one.timed and any(one.at - BEFORE <= due <= one.at for due, _ in self.late)
+        return one.is_timing and any(one.at - BEFORE <= due <= one.at for due, _ in self.late)
 
     def trace(self, call: str) -> list[str]:
         """All that is known of a call: what peers saw, and the agents' log lines."""
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from seamlb.emulator.audit import SLACK
+from seamlb.emulator.audit import SLACK_S
 from tests.soak.agents import ATTEMPTS_CAP, READY_MOSTLY, AgentProcesses
 from tests.soak.board import Board
 from tests.soak.callers import Callers
@@ -37,7 +37,7 @@
     @property
     def word(self) -> str:
         """passed, failed, or disturbed: judged by an observer that was late itself."""
-        return "failed" if self.violations else "disturbed" if self.disturbed or self.late > SLACK else "passed"
+        return "failed" if self.violations else "disturbed" if self.disturbed or self.late > SLACK_S else "passed"
 
     def lines(self) -> list[str]:
         """The verdict for a reader, with the command that plays just this seed."""
@@ -170,7 +170,10 @@
         await asyncio.sleep(self.plan.longest + TAIL)
         await callers.crowd_gone()
         calls = self.record.audit.calls.values()
-        while any(not one.released and one.due + TAIL > self.loop.time() and one.due < float("inf") for one in calls):
+        while any(
+            not one.released and one.release_due + TAIL > self.loop.time() and one.release_due < float("inf")
+            for one in calls
+        ):
             await asyncio.sleep(0.1)
 
     def _figures(self, callers: Callers) -> dict[str, object]:
@@ -213,7 +216,8 @@
         for ident in self.record.cut & callers.asked_of.keys():
             agent, asked = callers.asked_of[ident]
             if any(
-                asked - self.plan.kill_after <= one <= self.record.audit.calls[ident].due for one in agent.terminated
+                asked - self.plan.kill_after <= one <= self.record.audit.calls[ident].release_due
+                for one in agent.terminated
             ):
                 found.add(ident)
         return found
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from seamlb.emulator.audit import CUT_WITHIN
+from seamlb.emulator.audit import CUT_RELEASE_WITHIN_S
 from seamlb.protocol.sip import Message, response
 from tests.loopback import SDP, bye, reply
 from tests.soak.record import Record
@@ -92,7 +92,7 @@
     def _tell_release(self, wire: Wire, ident: str) -> None:
         self.record.note(ident, self.name, "release")
         self.unheard[ident] = wire, self.loop.time()
-        self.say(wire, bye(ident, NORMAL), lambda: self.record.audit.over(self.loop.time(), ident))
+        self.say(wire, bye(ident, NORMAL), lambda: self.record.audit.call_ended(self.loop.time(), ident))
 
     def say(self, wire: Wire, message: Message, out: Callable[[], None] = lambda: None) -> None:
         """Send a message, in pieces where this server does so now; `out` is called once it has left whole."""
@@ -131,7 +131,7 @@
         match message.method:
             case "INVITE":
                 self.record.note(ident, self.name, "set-up")
-                self.record.audit.attempt(now, ident, self._key(agent))
+                self.record.audit.attempt_started(now, ident, self._key(agent))
                 self.calls[ident] = Standing(agent, wire)
                 late = self.rng.uniform(*SLOW) if self.slow else 0.0
                 self._later(SET_UP + late, lambda: self._decide(ident, wire, message))
@@ -161,7 +161,7 @@
 
     def _off(self, ident: str, how: str) -> None:
         one = self.calls.pop(ident)
-        self.record.audit.ended(self.loop.time(), ident, self._key(one.agent), how)
+        self.record.audit.attempt_ended(self.loop.time(), ident, self._key(one.agent), how)
 
     def _decide(self, ident: str, wire: Wire, message: Message) -> None:
         one = self.calls.get(ident)
@@ -174,7 +174,7 @@
             self.record.note(ident, self.name, str(status))
             return self.say(wire, reply(message, status, ("X-Diagnosis", note)))
         one.stands = True
-        self.record.audit.ended(self.loop.time(), ident, self._key(one.agent), "answered")
+        self.record.audit.attempt_ended(self.loop.time(), ident, self._key(one.agent), "answered")
         self.record.note(ident, self.name, "200")
         self.say(wire, reply(message, 200, body=SDP))
         self._later(0.1 + self.rng.expovariate(1.0 / self.holding), lambda: self._release(ident, one))
@@ -184,7 +184,9 @@
         if self.calls.get(ident) is not one:
             return
         del self.calls[ident]
-        self.record.audit.over(self.loop.time(), ident, CUT_WITHIN)  # sooner once the release has left
+        self.record.audit.call_ended(
+            self.loop.time(), ident, CUT_RELEASE_WITHIN_S
+        )  # sooner once the release has left
         if one.wire.open:
             self._tell_release(one.wire, ident)
         else:
@@ -203,7 +205,7 @@
             if on is wire:  # it crossed the end of its connection: sent on the next one as well
                 del self.unheard[ident]
                 self.record.note(ident, self.name, "release crossed the end of its connection")
-                self.record.audit.postpone(ident, since + CUT_WITHIN)
+                self.record.audit.postpone_release(ident, since + CUT_RELEASE_WITHIN_S)
                 self._tell_somewhere(agent, ident)
         for ident, one in list(self.calls.items()):
             if one.wire is wire and not one.stands:
@@ -234,7 +236,7 @@
             if one.stands:
                 del self.calls[ident]
                 self.record.cut.add(ident)
-                self.record.audit.over(now, ident, CUT_WITHIN)
+                self.record.audit.call_ended(now, ident, CUT_RELEASE_WITHIN_S)
             else:
                 self._off(ident, "reset")
         self.record.cut.update(self.unheard, *self.untold.values())
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -10,10 +10,10 @@
 from seamlb import api
 from seamlb.cli import main
 from seamlb.emulator import clock, lab, results
-from seamlb.emulator.policies import NAMES, greedy, policy, uniform
+from seamlb.emulator.policies import POLICY_NAMES, greedy, make_policy, uniform
 from seamlb.emulator.run import emulate
-from seamlb.emulator.scenario import RULES, Policy, Scenario, Trouble, settings
-from seamlb.emulator.standin import Job, StandinDesk, stream
+from seamlb.emulator.scenario import CONTRACT, DeskFault, Policy, Scenario, agent_settings
+from seamlb.emulator.standin import Job, SimulatedDesk, make_rng
 from seamlb.planning.check import check
 from seamlb.planning.files import load_problem
 from seamlb.planning.model import PlanningError
@@ -27,7 +27,7 @@
 
 @pytest.fixture(scope="module")
 def plan() -> Policy:
-    return policy("plan", FLOOD, solve(FLOOD))
+    return make_policy("plan", FLOOD, solve(FLOOD))
 
 
 def test_the_clock_jumps_and_keeps_the_order() -> None:
@@ -53,17 +53,17 @@
 
 
 def test_the_same_seed_gives_the_same_run_and_pairs_the_policies(plan: Policy) -> None:
-    day = Scenario("x", troubles=(Trouble(2.0, "gyor-1", "crash"),))
+    day = Scenario("x", faults=(DeskFault(2.0, "gyor-1", "crash"),))
     one = emulate(FLOOD, plan, day, 7, 6.0)
     assert one == emulate(FLOOD, plan, day, 7, 6.0) != emulate(FLOOD, plan, day, 8, 6.0)
-    assert emulate(FLOOD, policy("uniform", FLOOD, plan.plan), day, 7, 6.0).calls == one.calls > 100
+    assert emulate(FLOOD, make_policy("uniform", FLOOD, plan.plan), day, 7, 6.0).calls == one.calls > 100
 
 
 @pytest.mark.parametrize("what", ["crash", "hang", "slow", "drain"])
 def test_rules_hold_under_trouble(plan: Policy, what: str) -> None:
-    troubles = [Trouble(1.0, name, what, factor=40.0) for name in ("budapest-1", "szeged-1")]
-    troubles += [Trouble(8.0, "szeged-1", "return" if what == "crash" else "wake")]
-    calm, rough = (emulate(FLOOD, plan, Scenario("x", load=1.2, troubles=tuple(t)), 3, 12.0) for t in ((), troubles))
+    faults = [DeskFault(1.0, name, what, factor=40.0) for name in ("budapest-1", "szeged-1")]
+    faults += [DeskFault(8.0, "szeged-1", "return" if what == "crash" else "wake")]
+    calm, rough = (emulate(FLOOD, plan, Scenario("x", load=1.2, faults=tuple(t)), 3, 12.0) for t in ((), faults))
     assert rough.broken == calm.broken == () and calm.late == 0 and rough.fallen == 0
     # What is out at a desk that hangs or crawls ends with its caller's time: an attempt may use all of it.
     assert rough.late == 0 or (what in ("hang", "slow") and rough.late < 0.1 * rough.calls)
@@ -75,15 +75,15 @@
 
 def test_a_cold_desk_falls_over_when_too_much_is_sent() -> None:
     async def story(count: int) -> tuple[int, list[Answer | Outcome]]:
-        contract = module_settings(Contract=RULES).contract
-        desk = StandinDesk("d", 50, 10.0, contract, stream(1, "d"))
+        contract = module_settings(Contract=CONTRACT).contract
+        desk = SimulatedDesk("d", 50, 10.0, contract, make_rng(1, "d"))
         desk.restart()
         heard: list[Answer | Outcome] = []
         for n in range(count):
             attempt = Attempt(Request(str(n), 0, "a", 0, "1", 1000.0, 0), 0, "d", 1000.0)
-            desk.arrive(Job(attempt, lambda leg, what: heard.append(what), 0.01), 1.0)
+            desk.receive_setup(Job(attempt, lambda leg, what: heard.append(what), 0.01), 1.0)
         await asyncio.sleep(30.0)
-        return desk.fallen, heard
+        return desk.overload_crashes, heard
 
     assert clock.run(story(12))[0] == 0
     fallen, heard = clock.run(story(20))
@@ -94,11 +94,11 @@
 
 def test_a_processor_without_agents_or_time_turns_away() -> None:
     async def story(agents: int, count: int) -> list[Answer | Outcome]:
-        desk = StandinDesk("d", agents, 10.0, module_settings(Contract=RULES).contract, stream(1, "d"))
+        desk = SimulatedDesk("d", agents, 10.0, module_settings(Contract=CONTRACT).contract, make_rng(1, "d"))
         heard: list[Answer | Outcome] = []
         for n in range(count):
             attempt = Attempt(Request(str(n), 0, "a", 0, "1", 1000.0, 0), 0, "d", 1000.0)
-            desk.arrive(Job(attempt, lambda leg, what: heard.append(what), 0.0), 1000.0)
+            desk.receive_setup(Job(attempt, lambda leg, what: heard.append(what), 0.0), 1000.0)
         await asyncio.sleep(20.0)
         return heard
 
@@ -120,11 +120,11 @@
     assert not [line for line in check(FLOOD, near) if "grade of service" in line]
     assert near.flows.routes["alert-confirm", "szeged", "szeged-1"] > 0  # the dearest class, at the nearest desk
     with pytest.raises(ValueError, match="unknown policy"):
-        policy("best", FLOOD, spread)
+        make_policy("best", FLOOD, spread)
 
 
 def test_agents_are_told_of_the_problem() -> None:
-    told = settings(FLOOD, 4, 2)
+    told = agent_settings(FLOOD, 4, 2)
     assert [kind.name for kind in told.classes] == sorted(FLOOD.kind) and told.zone == 2
     assert sum(told.allowances) == pytest.approx(26.3, rel=0.01)
 
@@ -202,7 +202,7 @@
 def test_rules_of_an_experiment_reach_every_agent(plan: Policy) -> None:
     """Precedence for an office beyond its share lifts that office, on the same callers."""
     text = (ROOT / "examples/plugins/county.rules").read_text()
-    plain, ruled = policy("plan", FLOOD, plan.plan), policy("plan+rules", FLOOD, plan.plan, text)
+    plain, ruled = make_policy("plan", FLOOD, plan.plan), make_policy("plan+rules", FLOOD, plan.plan, text)
     day = Scenario("x", 1.3, {"csongrad-megye": 1.5}, states=(("evacuation", "csongrad-megye"),))
     one, other = (emulate(FLOOD, how, day, 5, 20.0) for how in (plain, ruled))
     assert one.calls == other.calls and other.broken == ()
@@ -213,5 +213,5 @@
 
 
 def test_names_of_policies_are_all_played(plan: Policy) -> None:
-    for name in NAMES:
-        assert policy(name, FLOOD, plan.plan).name == name
+    for name in POLICY_NAMES:
+        assert make_policy(name, FLOOD, plan.plan).name == name
