--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of restarts: several processes of the program on loopback under faults that one seed draws."""
+"""Soak test of restarts: several agent processes on loopback under faults generated from one seed."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tests.soak --first 1 --seeds 50` plays seeds and prints verdicts; exit code 1 if one failed."""
+"""`python -m tests.soak --first 1 --seeds 50` runs seeds and prints their verdicts; exit code 1 if one failed."""
 
 from __future__ import annotations
 
@@ -7,23 +7,25 @@
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
 
-from tests.soak.run import Verdict, count, play
+from tests.soak.run import Verdict, play, summarize
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m tests.soak")
     parser.add_argument("--first", type=int, default=1, help="first seed")
-    parser.add_argument("--seeds", type=int, default=50, help="how many seeds")
-    parser.add_argument("--at-once", type=int, default=2, help="runs side by side")
-    parser.add_argument("--keep", default="", help="a folder for the logs, which are thrown away otherwise")
-    told = parser.parse_args()
+    parser.add_argument("--seeds", type=int, default=50, help="number of seeds")
+    parser.add_argument("--at-once", type=int, default=2, help="number of parallel runs")
+    parser.add_argument("--keep", default="", help="a folder for the logs, which are deleted otherwise")
+    arguments = parser.parse_args()
     verdicts: list[Verdict] = []
-    with ProcessPoolExecutor(told.at_once, max_tasks_per_child=1) as pool:
-        for verdict in pool.map(partial(play, keep=told.keep), range(told.first, told.first + told.seeds)):
+    with ProcessPoolExecutor(arguments.at_once, max_tasks_per_child=1) as pool:
+        for verdict in pool.map(
+            partial(play, keep=arguments.keep), range(arguments.first, arguments.first + arguments.seeds)
+        ):
             verdicts.append(verdict)
             print("\n".join(verdict.lines()), flush=True)
-    print(count(verdicts))
-    return 1 if any(one.word == "failed" for one in verdicts) else 0
+    print(summarize(verdicts))
+    return 1 if any(verdict.status == "failed" for verdict in verdicts) else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Stand-in callers: Poisson traffic on connections that stay open until the agent ends them, and a crowd."""
+"""Stub callers: Poisson traffic on long-lived connections, and a crowd of callers that misbehave."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from tests.soak.agents import AgentProcesses
 from tests.soak.draw import Plan
 from tests.soak.record import Record
-from tests.soak.wire import Wire
+from tests.soak.wire import SipConnection
 
-CONNECTIONS = 3  # to each agent
-CROSSES = 0.05  # seconds between a set-up and the end of its connection in which it may be sent again
-LEAVE = 0.1  # part of the callers that leave early
-HANG_UP = 0.2  # part of the calls that stand which their callers release
-KEEP_EVERY = 0.4  # seconds between two new connections to an agent
-IDLE = 4.0  # seconds without a call on a connection after which it may be closed
-STAY = 6.0  # seconds for which those of a crowd who never read stay
+MAX_CONNECTIONS = 3  # to each agent; the oldest idle ones beyond that are closed
+CROSSING_S = 0.05  # a set-up is resent if its connection ends within this time of sending it
+LEAVE_SHARE = 0.1  # of the callers, who cancel early
+HANG_UP_SHARE = 0.2  # of the established calls, which their callers release
+CONNECT_INTERVAL_S = 0.4  # between two new connections to an agent
+IDLE_S = 4.0  # without a message of a call, after which a connection may be closed
+SILENT_STAY_S = 6.0  # how long the callers of a crowd that never read stay connected
 
 
 @dataclass
-class Waiting:
-    """A set-up without its final answer."""
+class PendingSetup:
+    """A set-up without a final answer."""
 
     agent: AgentProcesses
-    wire: Wire
-    sent: float
-    kind: str
-    patience: float
-    again: bool  # sent a second time as it crossed the end of its connection
+    connection: SipConnection
+    sent_at: float
+    call_class: str
+    patience: float  # seconds
+    resent: bool  # the second copy of a set-up that crossed the end of its connection
 
 
 class Callers:
@@ -42,10 +42,10 @@
     def __init__(self, plan: Plan, agents: list[AgentProcesses], record: Record, rng: random.Random) -> None:
         self.plan, self.agents, self.record, self.rng = plan, agents, record, rng
         self.loop = asyncio.get_running_loop()
-        self.wires: dict[int, list[Wire]] = {one.number: [] for one in agents}
-        self.waiting: dict[str, Waiting] = {}
-        self.standing: dict[str, AgentProcesses] = {}
-        self.asked_of: dict[str, tuple[AgentProcesses, float]] = {}
+        self.connections: dict[int, list[SipConnection]] = {agent.number: [] for agent in agents}
+        self.pending: dict[str, PendingSetup] = {}
+        self.established: dict[str, AgentProcesses] = {}
+        self.requests: dict[str, tuple[AgentProcesses, float]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.results: dict[str, int] = {}
 
@@ -58,162 +58,176 @@
         self.results[what] = self.results.get(what, 0) + 1
 
     async def run(self, seconds: float) -> None:
-        """Ask for calls until the time is over, whatever is answered."""
+        """Send set-ups for `seconds`, whatever the answers (open loop)."""
         due, end = self.loop.time(), self.loop.time() + seconds
         while due < end:
-            due += self.rng.expovariate(self.plan.rate)
+            due += self.rng.expovariate(self.plan.calls_per_s)
             await asyncio.sleep(max(0.0, due - self.loop.time()))
-            self._spawn(self._ask(self.rng.choice(self.agents)))
+            self._spawn(self._place_call(self.rng.choice(self.agents)))
 
-    async def keep(self) -> None:
-        """Open a new connection to each agent that takes one, test on it, and close the oldest that is idle.
+    async def maintain_connections(self) -> None:
+        """Regularly open a connection to each agent that accepts one, send OPTIONS, and close the oldest idle one.
 
-        So some connection leads to the newest process, and the end of a call can be told on it.
+        So one connection always leads to the newest process, which can send the release of a call on it.
         """
         while True:
-            await asyncio.sleep(KEEP_EVERY)
+            await asyncio.sleep(CONNECT_INTERVAL_S)
             for agent in self.agents:
-                if agent.new_calls and (wire := await self._connect(agent)):
-                    wire.send(sip_request("OPTIONS", "0").encode())
-                    self.wires[agent.number].append(wire)
+                if agent.new_calls and (connection := await self._connect(agent)):
+                    connection.send(sip_request("OPTIONS", "0").encode())
+                    self.connections[agent.number].append(connection)
                     self._close_oldest(agent)
 
     def _close_oldest(self, agent: AgentProcesses) -> None:
-        wires = self.wires[agent.number] = [one for one in self.wires[agent.number] if one.open]
-        waited_on = {one.wire for one in self.waiting.values()}
-        idle = next((one for one in wires if self.loop.time() - one.used > IDLE and one not in waited_on), None)
-        if idle and len(wires) > CONNECTIONS:
+        connections = self.connections[agent.number] = [each for each in self.connections[agent.number] if each.open]
+        waited_on = {each.connection for each in self.pending.values()}
+        idle = next(
+            (each for each in connections if self.loop.time() - each.last_used > IDLE_S and each not in waited_on),
+            None,
+        )
+        if idle and len(connections) > MAX_CONNECTIONS:
             idle.close()
 
-    async def crowd_gone(self) -> None:
-        """Wait until those of the crowd have gone."""
+    async def wait_for_crowd(self) -> None:
+        """Wait until the callers of the crowd have disconnected."""
         await asyncio.gather(*self.tasks)
 
     # -- connections ----------------------------------------------------------------------------
 
-    async def _connect(self, agent: AgentProcesses) -> Wire | None:
+    async def _connect(self, agent: AgentProcesses) -> SipConnection | None:
         host, _, port = agent.listen.rpartition(":")
         try:
-            _, wire = await self.loop.create_connection(lambda: Wire(self._took, self._ended), host, int(port))
+            _, connection = await self.loop.create_connection(
+                lambda: SipConnection(self._received, self._ended), host, int(port)
+            )
         except OSError:
             return None
-        return wire
-
-    async def _wire(self, agent: AgentProcesses) -> Wire | None:
-        """A connection to an agent: an open one, also to a process that drains, or a new one while they are taken."""
-        open_ones = [one for one in self.wires[agent.number] if one.open]
-        self.wires[agent.number] = open_ones
-        if agent.new_calls and len(open_ones) < CONNECTIONS and (wire := await self._connect(agent)):
-            open_ones.append(wire)
-        usable = [one for one in open_ones if one.open]
+        return connection
+
+    async def _choose_connection(self, agent: AgentProcesses) -> SipConnection | None:
+        """Choose an open connection, which may lead to a draining process; open a new one if there are too few."""
+        open_ones = [each for each in self.connections[agent.number] if each.open]
+        self.connections[agent.number] = open_ones
+        if agent.new_calls and len(open_ones) < MAX_CONNECTIONS and (connection := await self._connect(agent)):
+            open_ones.append(connection)
+        usable = [each for each in open_ones if each.open]
         return self.rng.choice(usable) if usable else None
 
-    def _ended(self, wire: Wire) -> None:
-        """A set-up that crossed the end of its connection is sent again, once; others stay without their answer."""
+    def _ended(self, connection: SipConnection) -> None:
+        """Resend, once, each set-up that crossed the end of its connection; others remain without an answer."""
         now = self.loop.time()
-        for ident, one in list(self.waiting.items()):
-            if one.wire is not wire:
+        for ident, setup in list(self.pending.items()):
+            if setup.connection is not connection:
                 continue
-            del self.waiting[ident]
-            self.record.note(ident, "caller", f"connection ended, {now - one.sent:.3f} s after the set-up")
-            if now - one.sent <= CROSSES + SLACK_S and not one.again:
+            del self.pending[ident]
+            self.record.note(ident, "caller", f"connection ended, {now - setup.sent_at:.3f} s after the set-up")
+            if now - setup.sent_at <= CROSSING_S + SLACK_S and not setup.resent:
                 self.record.audit.caller_left(now, ident)
                 self._count("crossed")
-                self._spawn(self._ask(one.agent, again=True))
+                self._spawn(self._place_call(setup.agent, resent=True))
 
     # -- calls ----------------------------------------------------------------------------------
 
-    def _set_up(self, agent: AgentProcesses, wire: Wire, again: bool = False) -> str:
+    def _set_up(self, agent: AgentProcesses, connection: SipConnection, resent: bool = False) -> str:
         """Send a set-up; returns its id."""
-        kind, deadline = ("soon", self.plan.short) if self.rng.random() < 0.3 else ("later", self.plan.longest)
-        patience = deadline * self.rng.uniform(0.3, 1.0)
+        call_class, deadline_s = (
+            ("soon", self.plan.short_deadline_s)
+            if self.rng.random() < 0.3
+            else ("later", self.plan.longest_deadline_s)
+        )
+        patience_s = deadline_s * self.rng.uniform(0.3, 1.0)
         ident, now = f"{self.rng.getrandbits(64):016x}", self.loop.time()
         message = invite(
-            ident, dest=self.rng.randrange(self.plan.servers), timer=int(patience * 1000), call_class=kind
+            ident,
+            dest=self.rng.randrange(self.plan.server_count),
+            timer=int(patience_s * 1000),
+            call_class=call_class,
         )
-        self.waiting[ident] = Waiting(agent, wire, now, kind, patience, again)
-        self.asked_of[ident] = agent, now
-        self.record.audit.call_requested(now, ident, kind, patience)
-        self.record.note(ident, "caller", f"set-up to agent {agent.number}, waits {patience:.3f} s")
-        wire.send(message.encode())
+        self.pending[ident] = PendingSetup(agent, connection, now, call_class, patience_s, resent)
+        self.requests[ident] = agent, now
+        self.record.audit.call_requested(now, ident, call_class, patience_s)
+        self.record.note(ident, "caller", f"set-up to agent {agent.number}, waits {patience_s:.3f} s")
+        connection.send(message.encode())
         self._count("asked")
         return ident
 
-    async def _ask(self, agent: AgentProcesses, again: bool = False) -> None:
-        wire = await (self._connect(agent) if again else self._wire(agent))
-        if wire is None or not wire.open:
+    async def _place_call(self, agent: AgentProcesses, resent: bool = False) -> None:
+        connection = await (self._connect(agent) if resent else self._choose_connection(agent))
+        if connection is None or not connection.open:
             self._count("no connection")
             return
-        ident = self._set_up(agent, wire, again)
-        if self.rng.random() < LEAVE:
+        ident = self._set_up(agent, connection, resent)
+        if self.rng.random() < LEAVE_SHARE:
             await asyncio.sleep(self.rng.uniform(0.005, 0.3))
-            self.leave(ident)
+            self.cancel(ident)
 
-    def leave(self, ident: str) -> None:
-        """Give a set-up up."""
-        if one := self.waiting.pop(ident, None):
+    def cancel(self, ident: str) -> None:
+        """Cancel a set-up."""
+        if setup := self.pending.pop(ident, None):
             self.record.note(ident, "caller", "CANCEL")
             self.record.audit.caller_left(self.loop.time(), ident)
-            one.wire.send(sip_request("CANCEL", ident).encode())
+            setup.connection.send(sip_request("CANCEL", ident).encode())
             self._count("left")
 
-    def _took(self, wire: Wire, message: Message) -> None:
+    def _received(self, connection: SipConnection, message: Message) -> None:
         ident, now = message.get("call-id"), self.loop.time()
         if message.method == "BYE":
             self.record.note(ident, "caller", "BYE came")
             self.record.audit.call_released(now, ident)
-            self.standing.pop(ident, None)
-            wire.send(response(message, 200).encode())
+            self.established.pop(ident, None)
+            connection.send(response(message, 200).encode())
         elif message.status >= 200 and message.cseq()[1] == "INVITE":
-            self._answered(wire, ident, message.status)
+            self._answered(connection, ident, message.status)
 
-    def _answered(self, wire: Wire, ident: str, status: int) -> None:
+    def _answered(self, connection: SipConnection, ident: str, status: int) -> None:
         now = self.loop.time()
         self.record.note(ident, "caller", str(status))
-        wire.send(sip_request("ACK", ident).encode())
-        one = self.waiting.pop(ident, None)
-        if one is None and self.record.audit.calls[ident].left_at <= now:
-            return  # it crossed our CANCEL
+        connection.send(sip_request("ACK", ident).encode())
+        setup = self.pending.pop(ident, None)
+        if setup is None and self.record.audit.calls[ident].left_at <= now:
+            return  # the answer crossed our CANCEL
         self.record.audit.call_answered(now, ident, status)
         self._count(str(status))
-        if status == 200 and one:
-            self.standing[ident] = one.agent
-            if self.rng.random() < HANG_UP:
-                self.loop.call_later(self.rng.uniform(0.02, self.plan.holding), self._hang_up, ident)
+        if status == 200 and setup:
+            self.established[ident] = setup.agent
+            if self.rng.random() < HANG_UP_SHARE:
+                self.loop.call_later(self.rng.uniform(0.02, self.plan.holding_s), self._hang_up, ident)
 
     def _hang_up(self, ident: str) -> None:
-        agent = self.standing.get(ident)
-        wire = next((one for one in self.wires[agent.number] if one.open), None) if agent else None
-        if wire:
+        agent = self.established.get(ident)
+        connection = next((each for each in self.connections[agent.number] if each.open), None) if agent else None
+        if connection:
             self.record.note(ident, "caller", "releases")
             self.record.audit.call_released(self.loop.time(), ident, by_caller=True)
-            wire.send(bye(ident, 16).encode())
-            del self.standing[ident]
+            connection.send(bye(ident, 16).encode())
+            del self.established[ident]
 
     # -- the crowd ------------------------------------------------------------------------------
 
     async def crowd(self) -> None:
-        """Many at once: some never read, some leave early."""
+        """Connect many callers at once: some never read, some disconnect early."""
         serving = [one for one in self.agents if one.new_calls]
         silent, leaving = self.plan.crowd
         for number in range(silent + leaving if serving else 0):
             agent = self.rng.choice(serving)
-            if wire := await self._connect(agent):
-                ident = self._set_up(agent, wire)
-                self._spawn(self._stays(ident, wire) if number < silent else self._goes(ident, wire))
-
-    async def _stays(self, ident: str, wire: Wire) -> None:
-        """Never reads: what the agent does for it is not judged by its answer."""
-        cast(asyncio.Transport, wire.transport).pause_reading()
-        await asyncio.sleep(STAY)
-        self.waiting.pop(ident, None)
+            if connection := await self._connect(agent):
+                ident = self._set_up(agent, connection)
+                self._spawn(
+                    self._stay_silent(ident, connection) if number < silent else self._close_early(ident, connection)
+                )
+
+    async def _stay_silent(self, ident: str, connection: SipConnection) -> None:
+        """Never read from the connection, so no answer is required."""
+        cast(asyncio.Transport, connection.transport).pause_reading()
+        await asyncio.sleep(SILENT_STAY_S)
+        self.pending.pop(ident, None)
         self.record.audit.caller_left(self.loop.time(), ident)
-        wire.close(reset=True)
+        connection.close(reset=True)
 
-    async def _goes(self, ident: str, wire: Wire) -> None:
+    async def _close_early(self, ident: str, connection: SipConnection) -> None:
         await asyncio.sleep(self.rng.uniform(0.02, 0.3))
-        if self.waiting.pop(ident, None):
+        if self.pending.pop(ident, None):
             self.record.note(ident, "caller", "closes")
             self.record.audit.caller_left(self.loop.time(), ident)
             self._count("left")
-        wire.close()
+        connection.close()
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -1,4 +1,4 @@
-"""What the peers of the agents saw: the audit, each call's trace, and how late this process itself was."""
+"""What the agents' peers observed: the audit, a trace of each call, and delays of this process itself."""
 
 from __future__ import annotations
 
@@ -8,46 +8,48 @@
 
 from seamlb.emulator.audit import SLACK_S, Audit, Violation
 
-LOOK = 0.005  # seconds between two looks at the clock
-BEFORE = 4.0  # seconds before a violation in which a late observer may have caused it
-TRACE_LINES = 40
+CLOCK_INTERVAL_S = 0.005  # between two readings of the clock
+DISTURBANCE_S = 4.0  # before a violation, in which a delay of this process may have caused it
+MAX_TRACE_LINES = 40
 
 
 class Record:
-    """The audit of a run, with what is needed to read it."""
+    """The audit of a run, with the traces needed to interpret it."""
 
     def __init__(self, folder: Path, attempts_cap: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.began = self.loop.time()
         self.folder = folder
         self.audit = Audit(attempts_cap)
-        self.seen: defaultdict[str, list[str]] = defaultdict(list)
-        self.cut: set[str] = set()  # calls that stood as their server's process ended
-        self.late: list[tuple[float, float]] = []  # when it was late by more than the slack, and by how many seconds
-        self.latest = 0.0  # the most that it was late
-        self.notes: list[str] = []  # what concerns no call
-        self.watching = self.loop.create_task(self._watch())
-
-    def note(self, call: str, who: str, what: str) -> None:
-        """Add a line to a call's trace; to all that is known of the run where `call` is empty."""
-        self.seen[call].append(f"{self.loop.time() - self.began:8.3f} {who}: {what}")
-
-    async def _watch(self) -> None:
+        self.traces: defaultdict[str, list[str]] = defaultdict(list)
+        self.cut_calls: set[str] = set()  # calls that were established when their server's process ended
+        self.delays: list[tuple[float, float]] = []  # delays beyond SLACK_S: due time, seconds
+        self.max_delay = 0.0  # seconds
+        self.notes: list[str] = []  # lines that belong to no call
+        self.clock_task = self.loop.create_task(self._watch_clock())
+
+    def note(self, call: str, party: str, text: str) -> None:
+        """Add a line to the trace of a call; an empty `call` stands for the whole run."""
+        self.traces[call].append(f"{self.loop.time() - self.began:8.3f} {party}: {text}")
+
+    async def _watch_clock(self) -> None:
         while True:
-            due = self.loop.time() + LOOK
-            await asyncio.sleep(LOOK)
-            late = self.loop.time() - due
-            self.latest = max(self.latest, late)
-            if late > SLACK_S:
-                self.late.append((due, late))
-
-    def disturbed(self, one: Violation) -> bool:
-        """Was this process late by more than the slack just then, so that it may be what broke the bound?"""
-        return one.is_timing and any(one.at - BEFORE <= due <= one.at for due, _ in self.late)
+            due = self.loop.time() + CLOCK_INTERVAL_S
+            await asyncio.sleep(CLOCK_INTERVAL_S)
+            delay = self.loop.time() - due
+            self.max_delay = max(self.max_delay, delay)
+            if delay > SLACK_S:
+                self.delays.append((due, delay))
+
+    def disturbed(self, violation: Violation) -> bool:
+        """Whether this process itself was delayed shortly before, which may have caused the violation."""
+        return violation.is_timing and any(
+            violation.at - DISTURBANCE_S <= due <= violation.at for due, _ in self.delays
+        )
 
     def trace(self, call: str) -> list[str]:
-        """All that is known of a call: what peers saw, and the agents' log lines."""
-        lines = list(self.seen[call])
+        """The trace of a call: what the peers observed, and the agents' log lines."""
+        lines = list(self.traces[call])
         for path in sorted(self.folder.glob("*.log")):
             lines += [f"{path.stem}: {line}" for line in path.read_text().splitlines() if call and call in line]
-        return lines[:TRACE_LINES]
+        return lines[:MAX_TRACE_LINES]
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays the run of one seed and judges it from the peers' side."""
+"""Runs one seed and checks it from what the agents' peers observe."""
 
 from __future__ import annotations
 
@@ -12,42 +12,44 @@
 from pathlib import Path
 
 from seamlb.emulator.audit import SLACK_S
-from tests.soak.agents import ATTEMPTS_CAP, READY_MOSTLY, AgentProcesses
+from tests.soak.agents import ATTEMPTS_CAP, MOSTLY_READY_WITHIN_S, AgentProcesses
 from tests.soak.board import Board
 from tests.soak.callers import Callers
-from tests.soak.draw import SECONDS, Fault, Plan, draw
+from tests.soak.draw import CALLS_FOR_S, Fault, Plan, make_plan
 from tests.soak.record import Record
 from tests.soak.servers import Server
 
-DRAINS_FOR = 1.5  # seconds from Terminating to the end of a server's process
-DOWN_FOR = 0.7  # seconds from a crash to the next process
-TAIL = 1.5  # seconds beyond the longest wait and the last release, before the judgement
+DRAIN_S = 1.5  # from Terminating to the end of a server's process
+DOWN_S = 0.7  # from a crash to the next process
+TAIL_S = 1.5  # after the longest wait and the last release, before the final audit
 
 
 @dataclass
 class Verdict:
-    """What came of one seed."""
+    """The result of one seed."""
 
     seed: int
     violations: list[str] = field(default_factory=list)
-    disturbed: list[str] = field(default_factory=list)  # while this process itself was late
-    late: float = 0.0  # seconds by which it was late at most
+    disturbed: list[str] = field(default_factory=list)  # violations that a delay of this process may have caused
+    max_delay: float = 0.0  # of this process, in seconds
     figures: dict[str, object] = field(default_factory=dict)
 
     @property
-    def word(self) -> str:
-        """passed, failed, or disturbed: judged by an observer that was late itself."""
-        return "failed" if self.violations else "disturbed" if self.disturbed or self.late > SLACK_S else "passed"
+    def status(self) -> str:
+        """passed, failed, or disturbed: neither, as this observing process was itself delayed."""
+        return (
+            "failed" if self.violations else "disturbed" if self.disturbed or self.max_delay > SLACK_S else "passed"
+        )
 
     def lines(self) -> list[str]:
-        """The verdict for a reader, with the command that plays just this seed."""
-        head = f"seed {self.seed}: {self.word}, late by {self.late * 1000:.0f} ms at most, {self.figures}"
-        again = [f"  again: python -m tests.soak --first {self.seed} --seeds 1"] if self.word != "passed" else []
-        return [head, *again, *self.violations, *(f"disturbed: {one}" for one in self.disturbed)]
+        """Format the verdict, with the command that reruns this seed."""
+        head = f"seed {self.seed}: {self.status}, max observer delay {self.max_delay * 1000:.0f} ms, {self.figures}"
+        rerun = [f"  rerun: python -m tests.soak --first {self.seed} --seeds 1"] if self.status != "passed" else []
+        return [head, *rerun, *self.violations, *(f"disturbed: {line}" for line in self.disturbed)]
 
 
 class Run:
-    """One seed's run."""
+    """The run of one seed."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.rng = plan, random.Random(plan.seed + 1)
@@ -56,39 +58,41 @@
         agents = len(plan.inherited)
         self.board = Board(self.record, agents)
         self.all_servers: list[Server] = []
-        self.servers = [self._server(number, 0) for number in range(plan.servers)]
-        self.turns = [asyncio.Lock() for _ in self.servers]  # one drain or crash of a server at a time
+        self.servers = [self._make_server(number, 0) for number in range(plan.server_count)]
+        self.server_locks = [asyncio.Lock() for _ in self.servers]  # one drain or crash per server at a time
         self.agents: list[AgentProcesses] = []
-        self.played: list[str] = []
-        self.unknowable: set[str] = set()
+        self.played_faults: list[str] = []
+        self.unaudited: set[str] = set()
 
-    def _server(self, number: int, life: int) -> Server:
-        rng = random.Random(f"{self.plan.seed} {number} {life}")
-        made = Server(f"s{number}-{life}", len(self.plan.inherited), self.plan.holding, self.record, rng)
+    def _make_server(self, number: int, generation: int) -> Server:
+        rng = random.Random(f"{self.plan.seed} {number} {generation}")
+        made = Server(f"s{number}-{generation}", len(self.plan.inherited), self.plan.holding_s, self.record, rng)
         self.all_servers.append(made)
         return made
 
     async def play(self) -> Verdict:
-        """Play it to its end."""
+        """Run to the end and return the verdict."""
         await self.board.start()
         for cell, server in enumerate(self.servers):
             await server.start()
-            await self.board.tell(server.name, "Ready", server.ports, cell)
+            await self.board.publish(server.name, "Ready", server.ports, cell)
         for number in range(len(self.plan.inherited)):
-            known = lambda number=number: self.board.known(number)  # noqa: E731
-            self.agents.append(AgentProcesses(number, self.plan, self.board.addresses[number], known, self.record))
-        await asyncio.gather(*(one.start() for one in self.agents))
+            initial_list = lambda number=number: self.board.full_list(number)  # noqa: E731
+            self.agents.append(
+                AgentProcesses(number, self.plan, self.board.addresses[number], initial_list, self.record)
+            )
+        await asyncio.gather(*(agent.start() for agent in self.agents))
         callers = Callers(self.plan, self.agents, self.record, self.rng)
-        began = self.loop.time()
-        timeline = [self.loop.create_task(self._fault(one, began, callers)) for one in self.plan.faults]
-        keeping = self.loop.create_task(callers.keep())
-        await callers.run(SECONDS)
+        started_at = self.loop.time()
+        timeline = [self.loop.create_task(self._play_fault(fault, started_at, callers)) for fault in self.plan.faults]
+        connection_task = self.loop.create_task(callers.maintain_connections())
+        await callers.run(CALLS_FOR_S)
         await asyncio.gather(*timeline)
         await self._settle(callers)
-        keeping.cancel()
-        self._judge_calls(callers)
+        connection_task.cancel()
+        self._finish_audit(callers)
         figures = self._figures(callers)
-        await asyncio.gather(*(one.stop() for one in self.agents))
+        await asyncio.gather(*(agent.stop() for agent in self.agents))
         for server in self.all_servers:
             await server.stop()
             for address in server.addresses:
@@ -96,38 +100,38 @@
         self.board.close()
         return self._verdict(figures)
 
-    async def _fault(self, fault: Fault, began: float, callers: Callers) -> None:
-        await asyncio.sleep(began + fault.at - self.loop.time())
+    async def _play_fault(self, fault: Fault, started_at: float, callers: Callers) -> None:
+        await asyncio.sleep(started_at + fault.at_s - self.loop.time())
         if fault.kind == "crowd":
             return await callers.crowd()
         if fault.kind == "board hangs":
-            return await self.board.hang(fault.seconds)
-        self.played.append(f"{fault.at:.1f} s {fault.kind} {fault.target}")
+            return await self.board.hang(fault.duration_s)
+        self.played_faults.append(f"{fault.at_s:.1f} s {fault.kind} {fault.target}")
         if fault.kind in ("drain", "hang", "crash", "slow", "pieces"):
             return await self._server_fault(fault)
         agent = self.agents[fault.target]
-        while agent.busy:
+        while agent.fault_running:
             await asyncio.sleep(0.05)
-        agent.busy = True
+        agent.fault_running = True
         try:
             await self._agent_fault(agent, fault)
         finally:
-            agent.busy = False
+            agent.fault_running = False
 
     async def _agent_fault(self, agent: AgentProcesses, fault: Fault) -> None:
         match fault.kind:
             case "reload":
-                await agent.reloads(0)
+                await agent.reload_repeatedly(0)
             case "reloads":
-                await agent.reloads(5)
+                await agent.reload_repeatedly(5)
             case "quiesce":
-                await agent.quiesce(fault.seconds)
+                await agent.quiesce(fault.duration_s)
             case "upgrade":
                 await agent.upgrade(1)
             case "two upgrades":
                 await agent.upgrade(2)
             case kind:
-                await agent.restart(fault.seconds, kind)
+                await agent.restart(fault.duration_s, kind)
 
     async def _server_fault(self, fault: Fault) -> None:
         number = fault.target
@@ -135,112 +139,112 @@
         match fault.kind:
             case "hang":
                 server.hung = True
-                await asyncio.sleep(fault.seconds)
+                await asyncio.sleep(fault.duration_s)
                 server.wake()
             case "slow" | "pieces":
-                name = "slow" if fault.kind == "slow" else "in_pieces"
-                setattr(server, name, True)
-                await asyncio.sleep(fault.seconds)
-                setattr(server, name, False)
+                attribute = "slow" if fault.kind == "slow" else "in_pieces"
+                setattr(server, attribute, True)
+                await asyncio.sleep(fault.duration_s)
+                setattr(server, attribute, False)
             case "crash":
-                async with self.turns[number]:
+                async with self.server_locks[number]:
                     await self._crash(number, self.servers[number])
             case "drain":
-                async with self.turns[number]:
+                async with self.server_locks[number]:
                     await self._replace(number, self.servers[number])
 
     async def _crash(self, number: int, server: Server) -> None:
         await server.stop()
-        await asyncio.sleep(DOWN_FOR)
+        await asyncio.sleep(DOWN_S)
         await server.start()
-        await self.board.tell(server.name, "Ready", server.ports, number, int(time.time() * 1000))
+        await self.board.publish(server.name, "Ready", server.ports, number, int(time.time() * 1000))
 
     async def _replace(self, number: int, server: Server) -> None:
-        """It drains, ends, and another server takes its place, cold."""
-        self.servers[number] = fresh = self._server(number, int(server.name.rpartition("-")[2]) + 1)
-        await self.board.tell(server.name, "Terminating", server.ports, number)
-        await asyncio.sleep(DRAINS_FOR)
+        """Drain and stop a server, and start another one, cold, in its place."""
+        self.servers[number] = fresh = self._make_server(number, int(server.name.rpartition("-")[2]) + 1)
+        await self.board.publish(server.name, "Terminating", server.ports, number)
+        await asyncio.sleep(DRAIN_S)
         await server.stop()
-        await self.board.tell(server.name, "Gone", server.ports, number)
+        await self.board.publish(server.name, "Gone", server.ports, number)
         await fresh.start()
-        await self.board.tell(fresh.name, "Ready", fresh.ports, number, int(time.time() * 1000))
+        await self.board.publish(fresh.name, "Ready", fresh.ports, number, int(time.time() * 1000))
 
     async def _settle(self, callers: Callers) -> None:
-        """Wait until whoever asked must have been answered, and whoever must be told of an end has been."""
-        await asyncio.sleep(self.plan.longest + TAIL)
-        await callers.crowd_gone()
+        """Wait until every final answer and every release is due or received."""
+        await asyncio.sleep(self.plan.longest_deadline_s + TAIL_S)
+        await callers.wait_for_crowd()
         calls = self.record.audit.calls.values()
         while any(
-            not one.released and one.release_due + TAIL > self.loop.time() and one.release_due < float("inf")
-            for one in calls
+            not call.released and call.release_due + TAIL_S > self.loop.time() and call.release_due < float("inf")
+            for call in calls
         ):
             await asyncio.sleep(0.1)
 
     def _figures(self, callers: Callers) -> dict[str, object]:
-        held = [one.look() for one in self.agents]
-        ready = [one for agent in self.agents for one in agent.ready_after]
+        usage = [each.check_resources() for each in self.agents]
+        ready = [each for agent in self.agents for each in agent.ready_after]
         return {
             "agents": len(self.agents),
             "servers": len(self.servers),
-            "faults": self.played,
+            "faults": self.played_faults,
             "calls": callers.results,
             "ready_s": round(max(ready), 1),
-            "memory_mb": max(one["memory_mb"] for one in held),
-            "descriptors": max(one["descriptors"] for one in held),
+            "memory_mb": max(each["memory_mb"] for each in usage),
+            "descriptors": max(each["descriptors"] for each in usage),
         }
 
-    def _judge_calls(self, callers: Callers) -> None:
-        """Judge who was never answered or told, while all processes still run."""
-        self.unknowable = self._unknowable(callers)
-        self.record.audit.finish(self.loop.time(), without=self.unknowable)
+    def _finish_audit(self, callers: Callers) -> None:
+        """Report missing answers and releases while all processes still run."""
+        self.unaudited = self._find_unaudited(callers)
+        self.record.audit.finish(self.loop.time(), exempt=self.unaudited)
 
     def _verdict(self, figures: dict[str, object]) -> Verdict:
         audit, now = self.record.audit, self.loop.time()
-        self.record.watching.cancel()
-        ready = [one for agent in self.agents for one in agent.ready_after]
-        if sum(one > READY_MOSTLY for one in ready) > len(ready) / 10:
-            audit.report(now, "not ready", "fleet", f"nine in ten within {READY_MOSTLY} s: {ready}")
-        verdict = Verdict(self.plan.seed, late=self.record.latest)
-        verdict.figures = figures | {"cut_unknown_to_the_agent": len(self.unknowable)}
-        for one in audit.violations:
-            told = [str(one), *(f"    {line}" for line in self.record.trace(one.call))]
-            (verdict.disturbed if self.record.disturbed(one) else verdict.violations).append("\n".join(told))
+        self.record.clock_task.cancel()
+        ready = [each for agent in self.agents for each in agent.ready_after]
+        if sum(each > MOSTLY_READY_WITHIN_S for each in ready) > len(ready) / 10:
+            audit.report(now, "not ready", "fleet", f"nine in ten within {MOSTLY_READY_WITHIN_S} s: {ready}")
+        verdict = Verdict(self.plan.seed, max_delay=self.record.max_delay)
+        verdict.figures = figures | {"cut_unknown_to_the_agent": len(self.unaudited)}
+        for violation in audit.violations:
+            lines = [str(violation), *(f"    {line}" for line in self.record.trace(violation.call))]
+            (verdict.disturbed if self.record.disturbed(violation) else verdict.violations).append("\n".join(lines))
         return verdict
 
-    def _unknowable(self, callers: Callers) -> set[str]:
-        """Calls that were cut with their server once the agent's process that knew of them had ended.
+    def _find_unaudited(self, callers: Callers) -> set[str]:
+        """Calls cut off by the end of their server after the agent process that held them had ended.
 
-        No other process can know of them, so they are counted and not judged.
+        No other process can release them, so they are counted but not audited.
         """
-        found = set()
-        for ident in self.record.cut & callers.asked_of.keys():
-            agent, asked = callers.asked_of[ident]
+        calls = set()
+        for ident in self.record.cut_calls & callers.requests.keys():
+            agent, requested_at = callers.requests[ident]
             if any(
-                asked - self.plan.kill_after <= one <= self.record.audit.calls[ident].release_due
-                for one in agent.terminated
+                requested_at - self.plan.kill_after_s <= terminated_at <= self.record.audit.calls[ident].release_due
+                for terminated_at in agent.terminated
             ):
-                found.add(ident)
-        return found
+                calls.add(ident)
+        return calls
 
 
-async def _play(seed: int, folder: Path) -> Verdict:
+async def _play_or_fail(seed: int, folder: Path) -> Verdict:
     try:
-        return await Run(draw(seed), folder).play()
-    except Exception as error:  # a fault of the harness is a failed run, and must not end the others
+        return await Run(make_plan(seed), folder).play()
+    except Exception as error:  # an error of the harness fails this run and must not end the others
         return Verdict(seed, [f"the harness: {error!r}\n{traceback.format_exc()}"])
 
 
 def play(seed: int, keep: str = "") -> Verdict:
-    """Play one seed; `keep`: a folder for what the run writes, the agents' logs above all."""
+    """Run one seed; `keep`: a folder for the files of the run, such as the agents' logs."""
     if keep:
         folder = Path(keep) / f"seed-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(_play(seed, folder))
-    with tempfile.TemporaryDirectory() as passing:
-        return asyncio.run(_play(seed, Path(passing)))
+        return asyncio.run(_play_or_fail(seed, folder))
+    with tempfile.TemporaryDirectory() as temporary:
+        return asyncio.run(_play_or_fail(seed, Path(temporary)))
 
 
-def count(verdicts: list[Verdict]) -> str:
-    """How many of each word."""
-    words = Counter(one.word for one in verdicts)
-    return ", ".join(f"{words[word]} {word}" for word in ("passed", "disturbed", "failed"))
+def summarize(verdicts: list[Verdict]) -> str:
+    """The number of runs by status."""
+    counts = Counter(verdict.status for verdict in verdicts)
+    return ", ".join(f"{counts[status]} {status}" for status in ("passed", "disturbed", "failed"))
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""Stand-in servers: one logical server listens once for each agent, so that it knows whose connection is whose."""
+"""Stub servers: a server has one listener per agent, which tells it the agent of each connection."""
 
 from __future__ import annotations
 
@@ -12,238 +12,238 @@
 from seamlb.protocol.sip import Message, response
 from tests.loopback import SDP, bye, reply
 from tests.soak.record import Record
-from tests.soak.wire import Wire, reserve
+from tests.soak.wire import SipConnection, reserve
 
-SET_UP = 0.003  # seconds of work for a set-up
-STATE_EVERY = 0.3  # seconds between two tellings of the state
-FULL, FAULT = 0.03, 0.01  # chance that a set-up is turned away, that it fails
-SLOW = (0.2, 0.8)  # seconds by which a slow server's answers are late
-PIECES, PIECE_EVERY = 3, 0.03  # how many, and seconds between them
-LINES = 200
-NORMAL = 16  # Q.850 cause
+SETUP_WORK_S = 0.003  # processor time of a set-up
+STATE_INTERVAL_S = 0.3  # between two state reports
+FULL_SHARE, FAULT_SHARE = 0.03, 0.01  # shares of the set-ups that are refused as full and that fail
+SLOW_ANSWER_S = (0.2, 0.8)  # delay of a slow server's answers
+PIECE_COUNT, PIECE_INTERVAL_S = 3, 0.03  # number of writes of a message, and seconds between them
+LINE_COUNT = 200
+NORMAL_CLEARING = 16  # Q.850 cause
 
 
 @dataclass
-class Standing:
-    """A set-up that is out, then the call that stands by it."""
+class ServerCall:
+    """A pending set-up, and after its answer the established call."""
 
     agent: int
-    wire: Wire
-    stands: bool = False
+    connection: SipConnection
+    established: bool = False
 
 
 class Server:
-    """One server process after another, under one name."""
+    """The successive processes of a server under one name."""
 
-    def __init__(self, name: str, agents: int, holding: float, record: Record, rng: random.Random) -> None:
-        self.name, self.agents, self.holding, self.record, self.rng = name, agents, holding, record, rng
+    def __init__(self, name: str, agents: int, holding_s: float, record: Record, rng: random.Random) -> None:
+        self.name, self.agents, self.holding_s, self.record, self.rng = name, agents, holding_s, record, rng
         self.loop = asyncio.get_running_loop()
         self.hung, self.slow, self.in_pieces = False, False, False
-        self.calls: dict[str, Standing] = {}
-        self.wires: defaultdict[int, list[Wire]] = defaultdict(list)  # by agent
-        self.untold: defaultdict[int, list[str]] = defaultdict(list)  # calls to release on an agent's next connection
-        self.unheard: dict[str, tuple[Wire, float]] = {}  # releases without their 200, and since when
-        self.outgoing: dict[
-            Wire, asyncio.Queue[tuple[bytes, Callable[[], None]]]
-        ] = {}  # and what to do once it is out
-        self.woken: list[Callable[[], None]] = []  # what a hung process does once it wakes
-        self.ungreeted: list[tuple[int, Wire]] = []  # connections that came up during a hang
+        self.calls: dict[str, ServerCall] = {}
+        self.connections: defaultdict[int, list[SipConnection]] = defaultdict(list)  # by agent
+        self.unsent_releases: defaultdict[int, list[str]] = defaultdict(list)  # by agent: calls to release
+        self.unconfirmed_releases: dict[str, tuple[SipConnection, float]] = {}  # without a 200: sent on, at
+        # Data to write, and a callback for when it is written.
+        self.outgoing: dict[SipConnection, asyncio.Queue[tuple[bytes, Callable[[], None]]]] = {}
+        self.deferred: list[Callable[[], None]] = []  # work of a hung process to do on waking
+        self.unannounced: list[tuple[int, SipConnection]] = []  # connections made during a hang
         self.listeners: list[asyncio.Server] = []
-        self.addresses = [reserve() for _ in range(agents)]  # held while no process listens there
-        self.ports = [one.getsockname()[1] for one in self.addresses]
-        self.life = 0  # of the process: what an earlier one had to do is void
+        self.addresses = [reserve() for _ in range(agents)]  # reserved while no process listens
+        self.ports = [address.getsockname()[1] for address in self.addresses]
+        self.generation = 0  # work of an earlier process is dropped
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Start a process."""
-        self.life += 1
+        """Start a process: listen, and report the state regularly."""
+        self.generation += 1
         for agent in range(self.agents):
             listener = await self.loop.create_server(self._accept(agent), "127.0.0.1", self.ports[agent])
             self.listeners.append(listener)
-        self._spawn(self._tell_state(self.life))
+        self._spawn(self._report_state(self.generation))
 
     def _spawn(self, work: object) -> None:
         task = self.loop.create_task(work)  # type: ignore[arg-type]
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _accept(self, agent: int) -> Callable[[], Wire]:
-        return lambda: Wire(
-            lambda one, message: self._took(agent, one, message),
-            lambda one: self._ended(agent, one),
-            lambda one: self._opened(agent, one),
+    def _accept(self, agent: int) -> Callable[[], SipConnection]:
+        return lambda: SipConnection(
+            lambda connection, message: self._received(agent, connection, message),
+            lambda connection: self._ended(agent, connection),
+            lambda connection: self._opened(agent, connection),
         )
 
-    def _opened(self, agent: int, wire: Wire) -> None:
-        """Tell the state on a new connection, then the releases that had to wait for one."""
-        self.wires[agent].append(wire)
-        self.outgoing[wire] = asyncio.Queue()
-        self._spawn(self._write(wire))
+    def _opened(self, agent: int, connection: SipConnection) -> None:
+        """Report the state on a new connection, then send the releases that waited for one."""
+        self.connections[agent].append(connection)
+        self.outgoing[connection] = asyncio.Queue()
+        self._spawn(self._write(connection))
         if self.hung:
-            self.ungreeted.append((agent, wire))
+            self.unannounced.append((agent, connection))
         else:
-            self._greet(agent, wire)
+            self._announce(agent, connection)
 
-    def _greet(self, agent: int, wire: Wire) -> None:
-        self.say(wire, self._state())
-        for ident in self.untold.pop(agent, ()) if wire.open else ():
-            self._tell_release(wire, ident)
+    def _announce(self, agent: int, connection: SipConnection) -> None:
+        self.send(connection, self._state_message())
+        for ident in self.unsent_releases.pop(agent, ()) if connection.open else ():
+            self._send_release(connection, ident)
 
-    def _tell_release(self, wire: Wire, ident: str) -> None:
+    def _send_release(self, connection: SipConnection, ident: str) -> None:
         self.record.note(ident, self.name, "release")
-        self.unheard[ident] = wire, self.loop.time()
-        self.say(wire, bye(ident, NORMAL), lambda: self.record.audit.call_ended(self.loop.time(), ident))
+        self.unconfirmed_releases[ident] = connection, self.loop.time()
+        self.send(
+            connection, bye(ident, NORMAL_CLEARING), lambda: self.record.audit.call_ended(self.loop.time(), ident)
+        )
 
-    def say(self, wire: Wire, message: Message, out: Callable[[], None] = lambda: None) -> None:
-        """Send a message, in pieces where this server does so now; `out` is called once it has left whole."""
-        self.outgoing[wire].put_nowait((message.encode(), out))
+    def send(self, connection: SipConnection, message: Message, on_sent: Callable[[], None] = lambda: None) -> None:
+        """Queue a message, sent in pieces if `in_pieces`; `on_sent` is called when all of it is written."""
+        self.outgoing[connection].put_nowait((message.encode(), on_sent))
 
-    async def _write(self, wire: Wire) -> None:
+    async def _write(self, connection: SipConnection) -> None:
         while True:
-            data, out = await self.outgoing[wire].get()
-            size = -(-len(data) // PIECES) if self.in_pieces else len(data)
+            data, on_sent = await self.outgoing[connection].get()
+            size = -(-len(data) // PIECE_COUNT) if self.in_pieces else len(data)
             for at in range(0, len(data), size):
-                wire.send(data[at : at + size])
+                connection.send(data[at : at + size])
                 if self.in_pieces:
-                    await asyncio.sleep(PIECE_EVERY)
-            out()
+                    await asyncio.sleep(PIECE_INTERVAL_S)
+            on_sent()
 
-    def _state(self) -> Message:
-        free = max(0, LINES - sum(one.stands for one in self.calls.values()))
-        told = f"idle:{free};circuits:{LINES};avg_ms:1"
+    def _state_message(self) -> Message:
+        free = max(0, LINE_COUNT - sum(call.established for call in self.calls.values()))
+        occupancy = f"idle:{free};circuits:{LINE_COUNT};avg_ms:1"
         return Message(
-            "NOTIFY", "sip:exchange@net", headers=[("Call-ID", "0"), ("CSeq", "1 NOTIFY"), ("X-Occupancy", told)]
+            "NOTIFY", "sip:exchange@net", headers=[("Call-ID", "0"), ("CSeq", "1 NOTIFY"), ("X-Occupancy", occupancy)]
         )
 
-    async def _tell_state(self, life: int) -> None:
-        while self.life == life:
-            await asyncio.sleep(STATE_EVERY)
-            for wire in [one for wires in self.wires.values() for one in wires] if not self.hung else ():
-                self.say(wire, self._state())
+    async def _report_state(self, generation: int) -> None:
+        while self.generation == generation:
+            await asyncio.sleep(STATE_INTERVAL_S)
+            for connection in [c for group in self.connections.values() for c in group] if not self.hung else ():
+                self.send(connection, self._state_message())
 
     # -- calls ----------------------------------------------------------------------------------
 
     def _key(self, agent: int) -> str:
         return f"{self.name}@{agent}"
 
-    def _took(self, agent: int, wire: Wire, message: Message) -> None:
+    def _received(self, agent: int, connection: SipConnection, message: Message) -> None:
         ident, now = message.get("call-id"), self.loop.time()
         match message.method:
             case "INVITE":
                 self.record.note(ident, self.name, "set-up")
                 self.record.audit.attempt_started(now, ident, self._key(agent))
-                self.calls[ident] = Standing(agent, wire)
-                late = self.rng.uniform(*SLOW) if self.slow else 0.0
-                self._later(SET_UP + late, lambda: self._decide(ident, wire, message))
+                self.calls[ident] = ServerCall(agent, connection)
+                delay = self.rng.uniform(*SLOW_ANSWER_S) if self.slow else 0.0
+                self._later(SETUP_WORK_S + delay, lambda: self._decide(ident, connection, message))
             case "CANCEL":
                 self.record.note(ident, self.name, "CANCEL")
-                one = self.calls.get(ident)
-                if one and not one.stands and one.agent == agent:
-                    self._off(ident, "cancelled")
+                call = self.calls.get(ident)
+                if call and not call.established and call.agent == agent:
+                    self._end_attempt(ident, "cancelled")
             case "BYE":
                 self.record.note(ident, self.name, "BYE")
                 self.calls.pop(ident, None)
-                self._when_awake(lambda: self.say(wire, response(message, 200)))
+                self._when_awake(lambda: self.send(connection, response(message, 200)))
             case "":
-                self.unheard.pop(ident, None)
+                self.unconfirmed_releases.pop(ident, None)
             case "OPTIONS":
-                self._when_awake(lambda: self.say(wire, response(message, 200)))
+                self._when_awake(lambda: self.send(connection, response(message, 200)))
 
     def _later(self, seconds: float, then: Callable[[], None]) -> None:
-        life = self.life
-        self.loop.call_later(seconds, lambda: self._when_awake(then) if self.life == life else None)
+        generation = self.generation
+        self.loop.call_later(seconds, lambda: self._when_awake(then) if self.generation == generation else None)
 
     def _when_awake(self, then: Callable[[], None]) -> None:
         if self.hung:
-            self.woken.append(then)
+            self.deferred.append(then)
         else:
             then()
 
-    def _off(self, ident: str, how: str) -> None:
-        one = self.calls.pop(ident)
-        self.record.audit.attempt_ended(self.loop.time(), ident, self._key(one.agent), how)
+    def _end_attempt(self, ident: str, outcome: str) -> None:
+        call = self.calls.pop(ident)
+        self.record.audit.attempt_ended(self.loop.time(), ident, self._key(call.agent), outcome)
 
-    def _decide(self, ident: str, wire: Wire, message: Message) -> None:
-        one = self.calls.get(ident)
-        if one is None or one.wire is not wire or one.stands:
+    def _decide(self, ident: str, connection: SipConnection, message: Message) -> None:
+        call = self.calls.get(ident)
+        if call is None or call.connection is not connection or call.established:
             return
-        chance = self.rng.random()
-        if chance < FULL + FAULT:
-            status, note = (503, "atb") if chance < FULL else (500, "")
-            self._off(ident, "answered")
+        draw = self.rng.random()
+        if draw < FULL_SHARE + FAULT_SHARE:
+            status, diagnosis = (503, "atb") if draw < FULL_SHARE else (500, "")
+            self._end_attempt(ident, "answered")
             self.record.note(ident, self.name, str(status))
-            return self.say(wire, reply(message, status, ("X-Diagnosis", note)))
-        one.stands = True
-        self.record.audit.attempt_ended(self.loop.time(), ident, self._key(one.agent), "answered")
+            return self.send(connection, reply(message, status, ("X-Diagnosis", diagnosis)))
+        call.established = True
+        self.record.audit.attempt_ended(self.loop.time(), ident, self._key(call.agent), "answered")
         self.record.note(ident, self.name, "200")
-        self.say(wire, reply(message, 200, body=SDP))
-        self._later(0.1 + self.rng.expovariate(1.0 / self.holding), lambda: self._release(ident, one))
+        self.send(connection, reply(message, 200, body=SDP))
+        self._later(0.1 + self.rng.expovariate(1.0 / self.holding_s), lambda: self._release(ident, call))
 
-    def _release(self, ident: str, one: Standing) -> None:
-        """The call has come to its end: told on its connection, another one, or the next."""
-        if self.calls.get(ident) is not one:
+    def _release(self, ident: str, call: ServerCall) -> None:
+        """The call has ended: send the release on its connection, another one, or the next one."""
+        if self.calls.get(ident) is not call:
             return
         del self.calls[ident]
-        self.record.audit.call_ended(
-            self.loop.time(), ident, CUT_RELEASE_WITHIN_S
-        )  # sooner once the release has left
-        if one.wire.open:
-            self._tell_release(one.wire, ident)
+        # The deadline is shorter once the release is sent.
+        self.record.audit.call_ended(self.loop.time(), ident, CUT_RELEASE_WITHIN_S)
+        if call.connection.open:
+            self._send_release(call.connection, ident)
         else:
-            self._tell_somewhere(one.agent, ident)
+            self._release_anywhere(call.agent, ident)
 
-    def _tell_somewhere(self, agent: int, ident: str) -> None:
-        if wire := next((each for each in self.wires[agent] if each.open), None):
-            self._tell_release(wire, ident)
+    def _release_anywhere(self, agent: int, ident: str) -> None:
+        if connection := next((each for each in self.connections[agent] if each.open), None):
+            self._send_release(connection, ident)
         else:
             self.record.note(ident, self.name, "release waits for a connection")
-            self.untold[agent].append(ident)
+            self.unsent_releases[agent].append(ident)
 
-    def _ended(self, agent: int, wire: Wire) -> None:
-        self.wires[agent].remove(wire)
-        for ident, (on, since) in list(self.unheard.items()):
-            if on is wire:  # it crossed the end of its connection: sent on the next one as well
-                del self.unheard[ident]
+    def _ended(self, agent: int, connection: SipConnection) -> None:
+        self.connections[agent].remove(connection)
+        for ident, (sent_on, sent_at) in list(self.unconfirmed_releases.items()):
+            if sent_on is connection:  # the release may be lost with the connection: resend it on another
+                del self.unconfirmed_releases[ident]
                 self.record.note(ident, self.name, "release crossed the end of its connection")
-                self.record.audit.postpone_release(ident, since + CUT_RELEASE_WITHIN_S)
-                self._tell_somewhere(agent, ident)
-        for ident, one in list(self.calls.items()):
-            if one.wire is wire and not one.stands:
+                self.record.audit.postpone_release(ident, sent_at + CUT_RELEASE_WITHIN_S)
+                self._release_anywhere(agent, ident)
+        for ident, call in list(self.calls.items()):
+            if call.connection is connection and not call.established:
                 self.record.note(ident, self.name, "its connection ended")
-                self._off(ident, "reset")
+                self._end_attempt(ident, "reset")
 
     # -- faults ---------------------------------------------------------------------------------
 
     def wake(self) -> None:
-        """Go on after a hang."""
-        self.hung, woken, self.woken = False, self.woken, []
-        ungreeted, self.ungreeted = self.ungreeted, []
-        for agent, wire in ungreeted:
-            self._greet(agent, wire)
-        for then in woken:
+        """Resume after a hang and do the deferred work."""
+        self.hung, deferred, self.deferred = False, self.deferred, []
+        unannounced, self.unannounced = self.unannounced, []
+        for agent, connection in unannounced:
+            self._announce(agent, connection)
+        for then in deferred:
             then()
 
     async def stop(self) -> None:
-        """End the process: connections are reset, calls cut."""
-        self.life += 1
-        self.hung, self.woken, self.ungreeted = False, [], []
+        """End the process: reset its connections and cut off its calls."""
+        self.generation += 1
+        self.hung, self.deferred, self.unannounced = False, [], []
         for listener in self.listeners:
             listener.close()
         self.listeners.clear()
         now = self.loop.time()
-        for ident, one in list(self.calls.items()):
+        for ident, call in list(self.calls.items()):
             self.record.note(ident, self.name, "the server's process ends")
-            if one.stands:
+            if call.established:
                 del self.calls[ident]
-                self.record.cut.add(ident)
+                self.record.cut_calls.add(ident)
                 self.record.audit.call_ended(now, ident, CUT_RELEASE_WITHIN_S)
             else:
-                self._off(ident, "reset")
-        self.record.cut.update(self.unheard, *self.untold.values())
-        self.untold.clear()
-        self.unheard.clear()
-        for wires in self.wires.values():
-            for wire in wires[:]:
-                wire.close(reset=True)
+                self._end_attempt(ident, "reset")
+        self.record.cut_calls.update(self.unconfirmed_releases, *self.unsent_releases.values())
+        self.unsent_releases.clear()
+        self.unconfirmed_releases.clear()
+        for connections in self.connections.values():
+            for connection in connections[:]:
+                connection.close(reset=True)
         for task in list(self.tasks):
             task.cancel()
--- a/tests/soak/wire.py
+++ b/tests/soak/wire.py
@@ -1,4 +1,4 @@
-"""A connection of a stand-in: whole messages in, bytes out, its end told once."""
+"""A SIP connection of a stub: delivers whole messages, sends bytes, and reports its end once."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 
 
 def reserve() -> socket.socket:
-    """A socket that holds an address for a process that will listen there, or be handed the socket."""
-    made = socket.socket()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.bind(("127.0.0.1", 0))
-    return made
+    """Reserve an address for a process that will listen on it or inherit the socket."""
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", 0))
+    return reserved
 
 
-class Wire(asyncio.Protocol):
-    """One side of a TCP connection that speaks the platform's dialect."""
+class SipConnection(asyncio.Protocol):
+    """One side of a TCP connection that speaks the platform's SIP dialect."""
 
     def __init__(
         self,
-        took: Callable[[Wire, Message], None],
-        ended: Callable[[Wire], None],
-        opened: Callable[[Wire], None] = lambda wire: None,
+        on_message: Callable[[SipConnection, Message], None],
+        on_closed: Callable[[SipConnection], None],
+        on_opened: Callable[[SipConnection], None] = lambda connection: None,
     ) -> None:
-        self.took, self.ended, self.opened = took, ended, opened
+        self.on_message, self.on_closed, self.on_opened = on_message, on_closed, on_opened
         self.framer = Framer()
         self.transport: asyncio.Transport | None = None
         self.open = False
-        self.used = asyncio.get_running_loop().time()  # when a call last had a message on it
+        self.last_used = asyncio.get_running_loop().time()  # time of the last message of a call
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport, self.open = transport, True
-        self.opened(self)
+        self.on_opened(self)
 
     def data_received(self, data: bytes) -> None:
         self.framer.feed(data)
         for message in self.framer.messages():
             if isinstance(message, Message):
                 if message.cseq()[1] != "OPTIONS":
-                    self.used = asyncio.get_running_loop().time()
-                self.took(self, message)
+                    self.last_used = asyncio.get_running_loop().time()
+                self.on_message(self, message)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.open = False
-        self.ended(self)
+        self.on_closed(self)
 
     def send(self, data: bytes) -> bool:
-        """Write; False once the connection has ended."""
+        """Write; False if the connection has ended."""
         if not self.open or self.transport is None or self.transport.is_closing():
             return False
         self.transport.write(data)
