--- a/seamlb/api.py
+++ b/seamlb/api.py
@@ -29,7 +29,7 @@
 
 
 NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.NOT_RUN})  # proof that the attempt did nothing
-BARRING = frozenset({Status.TIMEOUT, Status.RESET, Status.CANCELLED})  # rule 5: lines may stay taken for a while
+DELAYS_RETRY = frozenset({Status.TIMEOUT, Status.RESET, Status.CANCELLED})  # rule 5: lines may stay taken for a while
 
 
 class Availability(IntEnum):
@@ -109,7 +109,7 @@
     on_request: bool
     network: bool
     self_number: int
-    repeat: float
+    retransmit_after: float
     fields: tuple[str, ...]
     report_source: str
     # Numbers of the classes and tenants that requests may name. Others were dropped; what is open keeps them.
@@ -212,7 +212,7 @@
             on_request=on_request,
             network=extra.get("NetworkForm") == "network",
             self_number=int(extra.get("SelfNo", -1)),
-            repeat=_number(extra, "Repeat", 0.0, where="Extra."),
+            retransmit_after=_number(extra, "Repeat", 0.0, where="Extra."),
             fields=tuple(report.get("Fields") or ()),
             report_source=str(report.get("Source", "none")),
             class_ids={kind.name: place for place, kind in enumerate(classes)},
--- a/seamlb/estimators.py
+++ b/seamlb/estimators.py
@@ -1,24 +1,26 @@
-"""General estimators of rates and levels; they decide nothing and know nothing of calls."""
+"""General estimators of rates and levels, independent of calls and of any decision."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-NEWTON_STEPS = 6  # within 1e-4 for bounds up to 1,000; they come from below, so fewer never give too much
+NEWTON_STEPS = (
+    6  # error below 1e-4 for bounds up to 1,000; iterates rise to the root, so the result is never too high
+)
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that come at a rate up to a depth; both may differ from one call to the next."""
+    """Token bucket whose rate and depth are passed with each request, so that both may change."""
 
     level: float
-    at: float
+    updated_at: float
 
     def take(self, now: float, rate: float, depth: float) -> bool:
-        """Take one token; False, and none is taken, where less than one is there."""
-        self.level = min(depth, self.level + (now - self.at) * rate)
-        self.at = now
+        """Take one token and return True, or return False and take nothing if less than one is there."""
+        self.level = min(depth, self.level + (now - self.updated_at) * rate)
+        self.updated_at = now
         if self.level < 1.0:
             return False
         self.level -= 1.0
@@ -27,47 +29,47 @@
 
 @dataclass(slots=True)
 class DecayingValue:
-    """A value that decays exponentially with the time constant `span`; times are of the caller's clock and unit."""
+    """A value that decays exponentially; all times have the unit of the caller's clock."""
 
-    span: float
+    time_constant: float
     value: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def get(self, now: float) -> float:
-        """What is left of the value."""
-        return self.value * math.exp((self.at - now) / self.span) if self.value else 0.0
+        """Return the value after its decay until `now`."""
+        return self.value * math.exp((self.updated_at - now) / self.time_constant) if self.value else 0.0
 
-    def put(self, now: float, value: float) -> None:
-        """Set the value."""
-        self.value, self.at = value, now
+    def set(self, now: float, value: float) -> None:
+        """Replace the value."""
+        self.value, self.updated_at = value, now
 
     def add(self, now: float, amount: float) -> None:
-        """Add to what is left; events counted by `1 / span` each make it their rate."""
-        self.put(now, self.get(now) + amount)
+        """Add to the decayed value; adding `1 / time_constant` per event estimates the event rate."""
+        self.set(now, self.get(now) + amount)
 
 
 @dataclass(slots=True)
 class AwakeClock:
-    """Time in which this process ran: a gap between two readings of more than `stall` is left out."""
+    """Time during which this process ran: gaps of more than `max_gap` between two readings don't count."""
 
-    stall: float
+    max_gap: float
     awake: float = 0.0
-    last: float = 0.0
+    last_reading: float = 0.0
     stalled_at: float = -1.0  # the reading that ended the latest stall
 
     def advance(self, now: float) -> None:
-        """Take a reading of the clock."""
-        if now - self.last > self.stall:
+        """Take a reading of the underlying clock."""
+        if now - self.last_reading > self.max_gap:
             self.stalled_at = now
         else:
-            self.awake += now - self.last
-        self.last = now
+            self.awake += now - self.last_reading
+        self.last_reading = now
 
 
-def poisson_mean(bound: float, chance: float) -> float:
-    """The highest mean of a Poisson count that exceeds `bound` with at most `chance`, by Chernoff's bound."""
-    rarity = 1.0 - math.log(chance) / bound
-    part = math.exp(-rarity)  # of `bound`; Newton's steps solve part - log(part) = rarity
+def max_poisson_mean(bound: float, probability: float) -> float:
+    """Return the highest mean of a Poisson count that exceeds `bound` with at most `probability` (Chernoff bound)."""
+    target = 1.0 - math.log(probability) / bound
+    fraction = math.exp(-target)  # mean / bound; Newton's method solves fraction - log(fraction) = target
     for _ in range(NEWTON_STEPS):
-        part -= (part - math.log(part) - rarity) / (1.0 - 1.0 / part)
-    return part * bound
+        fraction -= (fraction - math.log(fraction) - target) / (1.0 - 1.0 / fraction)
+    return fraction * bound
--- a/seamlb/observations.py
+++ b/seamlb/observations.py
@@ -1,6 +1,6 @@
-"""What one node has observed: its open calls, and servers with their reports, delays and faults; decides nothing.
+"""What one node has observed: open calls, and servers with their reports, delays and errors. No decisions.
 
-Times are milliseconds: clock times, or awake times, which leave out this process's own stalls.
+Times are ms, of the caller's clock or of the awake clock, which leaves out stalls of this process.
 """
 
 from __future__ import annotations
@@ -13,100 +13,109 @@
 from seamlb import api
 from seamlb.estimators import DecayingValue
 
-QUANTILE = 0.75  # of recent delays a set-up: the paper's x, configuration 1
-RECENT = 16  # set-up delays of this node kept for a server
-RECOVER_MS = 5000.0  # ms in which evidence of a server fades; older than this it tells nothing
-FAULT_PART = 0.1  # weight of the latest answer in a server's share of faults
+DELAY_QUANTILE = 0.75  # of recent delays per set-up: the paper's x, configuration 1
+RECENT_DELAYS = 16  # delays of this node's set-ups kept per server
+EVIDENCE_MAX_AGE_MS = 5000.0  # ms, time constant and greatest age of evidence about a server
+ERROR_WEIGHT = 0.1  # weight of the latest answer in a server's share of errors
 
-Caller = tuple[int, int, int]  # number called, class, tenant: a retry has them all from the first try
+CallerKey = tuple[int, int, int]  # number called, class, tenant: a redial has the same as the first try
 
 
-class Pending(NamedTuple):
+class PendingSetUp(NamedTuple):
     """A set-up without an answer."""
 
     due: float  # clock time
-    sent: float  # awake time
-    outstanding: int  # set-ups out at that server then, with it
+    sent_at: float  # awake time
+    outstanding: int  # set-ups outstanding at the server when this one was sent, including it
 
 
 @dataclass(slots=True)
 class Server:
-    """One server. Awake times, but `filled`, `cold_from`, `stepped`, `opens` and `told`, which are clock times."""
+    """One server. Awake times, except `refilled_at`, `cold_from`, `gapping_changed_at`, `next_admission` and
+    `reported_at`, which are clock times.
+    """
 
     entry: api.ListEntry
-    filled: float  # when the cold budget was last filled up
+    refilled_at: float  # when `tokens` was last refilled
     cold_from: float  # its cold start; -inf: warm
-    verdicts: deque[int]  # levels that the latest detections found
-    tokens: float = 0.0  # budget while it is cold, and of spill
-    pending: dict[int, Pending] = field(default_factory=dict)  # by call
-    ratios: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=RECENT))  # when, delay a set-up
+    recent_levels: deque[int]  # results of the latest detections
+    tokens: float = 0.0  # budget of set-ups while it is cold, and of spilled calls
+    pending: dict[int, PendingSetUp] = field(default_factory=dict)  # by call
+    recent_delays: deque[tuple[float, float]] = field(  # time, delay per outstanding set-up
+        default_factory=lambda: deque(maxlen=RECENT_DELAYS)
+    )
     level: int = 0
-    depth: int = 0  # how many ranks are gapped, from the lowest up
-    stepped: float = -math.inf  # when `depth` last changed
-    opens: dict[int, float] = field(default_factory=dict)  # gapped rank: when its next interval starts
-    wait: DecayingValue = field(default_factory=lambda: DecayingValue(RECOVER_MS))
-    idle: float = math.inf  # free lines
+    gapped_ranks: int = 0  # how many ranks are gapped, from the lowest up
+    gapping_changed_at: float = -math.inf
+    next_admission: dict[int, float] = field(default_factory=dict)  # by gapped rank, start of its next interval
+    queue_delay: DecayingValue = field(default_factory=lambda: DecayingValue(EVIDENCE_MAX_AGE_MS))
+    free_lines: float = math.inf  # as last reported
     circuits: float = math.inf  # all lines
-    reported_at: float = -math.inf  # when its lines were last heard of
-    heard: float = -math.inf  # last answer of any kind
-    passed: float = -math.inf  # when the latest set-up that was answered had been sent
-    lost: float = -math.inf  # when a set-up last ran out of time with nothing heard since
-    sent: float = -math.inf  # latest set-up
-    faults: float = 0.0  # share of its latest answers that were errors
-
-    def delay(self, awake: float) -> float:
-        """Paper's x: a high quantile of delay per own set-up outstanding; nought without evidence.
-
-        The oldest that none overtook counts by age: a stopped server sends no delays; harms in an idle time.
+    reported_at: float = -math.inf  # when its free lines were last reported
+    last_answer_at: float = -math.inf  # of any kind
+    newest_answered_sent_at: float = -math.inf  # send time of the newest set-up that was answered
+    timed_out_at: float = -math.inf  # when a set-up last timed out with no answer since it was sent
+    last_sent_at: float = -math.inf  # newest set-up
+    error_share: float = 0.0  # share of its latest answers that were errors
+
+    def delay_per_set_up(self, awake: float) -> float:
+        """Return the paper's x: a high quantile of the delay per own set-up outstanding; 0 without evidence.
+
+        The age of the oldest set-up that was not overtaken counts too, as a stopped server yields no delays; when
+        traffic is low this overestimates x.
         """
-        ages = [(awake - one.sent) / one.outstanding for one in self.pending.values() if one.sent >= self.passed]
-        ratios = sorted(ratio for at, ratio in self.ratios if awake - at < RECOVER_MS)
-        return max(ages[:1] + ratios[int(len(ratios) * QUANTILE) :][:1], default=0.0)
-
-    def size(self) -> float:
-        """Its lines; 1 where they are not known."""
+        ages = [
+            (awake - set_up.sent_at) / set_up.outstanding
+            for set_up in self.pending.values()
+            if set_up.sent_at >= self.newest_answered_sent_at
+        ]
+        delays = sorted(delay for at, delay in self.recent_delays if awake - at < EVIDENCE_MAX_AGE_MS)
+        return max(ages[:1] + delays[int(len(delays) * DELAY_QUANTILE) :][:1], default=0.0)
+
+    def lines(self) -> float:
+        """Return the number of lines; 1 if it is unknown."""
         return self.circuits if 0 < self.circuits < math.inf else 1.0
 
-    def answered(self, fault: bool) -> None:
-        """Count an answer in the share of faults."""
-        self.faults += FAULT_PART * (fault - self.faults)
+    def record_result(self, error: bool) -> None:
+        """Update the share of errors by one answer."""
+        self.error_share += ERROR_WEIGHT * (error - self.error_share)
 
 
 @dataclass(slots=True)
 class Call:
-    """A call that still needs its final answer; clock times."""
+    """A call without a final answer; clock times."""
 
     ident: int
-    kind: api.CallClass
+    call_class: api.CallClass
     rank: int
-    over_by: float  # when the caller gives up
+    gives_up_at: float  # when the caller gives up
     destination: int
     in_transit: bool
     width: float
-    caller: Caller
-    since: float  # when the first try came
-    over: int  # 1 if the first try went beyond its tenant's share
-    cap: int  # attempts it may have, as it was when it came
+    caller: CallerKey
+    first_try_at: float
+    over_share: int  # 1 if the first try exceeded its tenant's share
+    max_attempts: int  # by the settings in force when the call came
     attempts: int = 0
-    overtaken: int = 0  # later set-ups there that were answered before it
-    server: Server | None = None  # where an attempt is out
-    not_before: float = 0.0
-    tried: list[int] = field(default_factory=list)
-    faulted: int = -1  # the server that failed it last
-    ran: tuple[api.ListEntry, float] | None = None  # first attempt that may have run, and its send
+    overtaken: int = 0  # answers at its server to set-ups sent later
+    server: Server | None = None  # where an attempt is outstanding
+    not_before: float = 0.0  # earliest time of the next attempt
+    excluded_servers: list[int] = field(default_factory=list)
+    last_failed_server: int = -1
+    first_run: tuple[api.ListEntry, float] | None = None  # first attempt that may have run, and when it was sent
 
 
 class Fleet:
-    """The servers of the list, with their lines; `memory` is how many verdicts are kept of each."""
+    """The listed servers and their lines; `streak` is how many detection results are kept per server."""
 
-    def __init__(self, memory: int) -> None:
-        self.memory = memory
+    def __init__(self, streak: int) -> None:
+        self.streak = streak
         self.servers: dict[int, Server] = {}
-        self.listed = False  # has there been a list?
-        self.lines = 1.0  # sum of the servers' sizes
+        self.listed = False  # whether a list has been received
+        self.lines = 1.0  # sum over the servers
 
-    def update(self, now: float, event: api.ListChange, cold: float) -> list[Server]:
-        """Take news of the list; returns the servers that have just started. `cold`: time until one is warm."""
+    def update(self, now: float, event: api.ListChange, cold_ms: float) -> list[Server]:
+        """Apply a change of the list; returns the servers that have just started. `cold_ms`: time to warm up."""
         if event.scope != api.Scope.DELTA:
             named = {entry.server for entry in event.entries}
             self.servers = {ident: server for ident, server in self.servers.items() if ident in named}
@@ -117,32 +126,32 @@
                 self.servers.pop(entry.server, None)
             elif server is None or (entry.since and entry.since != server.entry.since):
                 new = Server(
-                    entry, now, entry.since or (now if self.listed else -math.inf), deque(maxlen=self.memory)
+                    entry, now, entry.since or (now if self.listed else -math.inf), deque(maxlen=self.streak)
                 )
                 if server:
-                    new.idle, new.circuits = server.idle, server.circuits
+                    new.free_lines, new.circuits = server.free_lines, server.circuits
                 self.servers[entry.server] = new
                 started.append(new)
             else:
                 server.entry = entry
-        self.count_lines(now, cold)
+        self.count_lines(now, cold_ms)
         self.listed = True
         return started
 
-    def report(self, now: float, ident: int, seen: dict[str, float], cold: float) -> None:
-        """Take a server's load report by field."""
+    def record_report(self, now: float, ident: int, values: dict[str, float], cold_ms: float) -> None:
+        """Record a server's load report, given as values by field."""
         if (server := self.servers.get(ident)) is None:
             return
-        if "idle" in seen:
-            server.idle, server.reported_at = seen["idle"], now
-            server.circuits = seen.get("circuits", server.circuits)
-            self.count_lines(now, cold)
-        if 0.0 <= seen.get("avg_ms", -1.0) < math.inf:
-            server.wait.put(now, seen["avg_ms"])
-
-    def count_lines(self, now: float, cold: float) -> None:
-        """Lines of the servers; of one that drains and its cold successor one counts."""
+        if "idle" in values:
+            server.free_lines, server.reported_at = values["idle"], now
+            server.circuits = values.get("circuits", server.circuits)
+            self.count_lines(now, cold_ms)
+        if 0.0 <= values.get("avg_ms", -1.0) < math.inf:
+            server.queue_delay.set(now, values["avg_ms"])
+
+    def count_lines(self, now: float, cold_ms: float) -> None:
+        """Sum the lines; a draining server and its cold successor count once, as the larger sum is taken."""
         servers = self.servers.values()
-        ready = sum(one.size() for one in servers if one.entry.availability == api.Availability.READY)
-        warm = sum(one.size() for one in servers if now - one.cold_from >= cold)
+        ready = sum(server.lines() for server in servers if server.entry.availability == api.Availability.READY)
+        warm = sum(server.lines() for server in servers if now - server.cold_from >= cold_ms)
         self.lines = max(ready, warm, 1.0)
--- a/seamlb/policy/__init__.py
+++ b/seamlb/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of the call agent, after Andersson, Nyberg and Kihl (2003); no I/O, the caller's clock."""
+"""All decisions of the call agent, after Andersson, Nyberg and Kihl (2003). No I/O; callers pass the time."""
--- a/seamlb/policy/callers.py
+++ b/seamlb/policy/callers.py
@@ -1,57 +1,57 @@
-"""Callers that come again, tenants' shares, and numbers whose lines are busy."""
+"""Redialling callers, the tenants' shares, and called numbers whose lines are all busy."""
 
 import math
 
 from seamlb import api
 from seamlb.estimators import TokenBucket
-from seamlb.observations import RECOVER_MS, Call, Caller
+from seamlb.observations import EVIDENCE_MAX_AGE_MS, Call, CallerKey
 
-BUSY_MS = 5000.0  # ms for which a number whose lines are all busy is not asked for again
-REMEMBERED = 4096  # callers turned away that are remembered, against a flood of numbers
+BUSY_NUMBER_MS = 5000.0  # ms during which calls to a number whose lines are all busy are refused here
+MAX_REMEMBERED = 4096  # bounds the memory that a flood of different numbers can take
 
 
-class Callers:
-    """Who was turned away lately, what tenants have used, and which numbers are busy."""
+class CallerHistory:
+    """Remembers callers refused lately, what tenants have used of their shares, and busy numbers."""
 
     def __init__(self) -> None:
-        self.turned_away: dict[Caller, tuple[float, float, int]] = {}  # first try, latest, over its share
-        self.busy: dict[int, float] = {}  # number called: until when none of its lines is worth asking for
-        self.shares: dict[int, TokenBucket] = {}  # by tenant
+        self.turned_away: dict[CallerKey, tuple[float, float, int]] = {}  # first try, latest try, over share
+        self.busy_until: dict[int, float] = {}  # by number called
+        self.share_buckets: dict[int, TokenBucket] = {}  # by tenant
 
-    def forget(self, classes: set[int], tenants: set[int]) -> None:
-        """What is known by a number that another class or tenant has now is not the new one's."""
+    def forget_reassigned(self, classes: set[int], tenants: set[int]) -> None:
+        """Drop what was recorded under class and tenant ids that now mean another class or tenant."""
         known = self.turned_away.items()
-        self.turned_away = {c: one for c, one in known if c[1] not in classes and c[2] not in tenants}
+        self.turned_away = {c: seen for c, seen in known if c[1] not in classes and c[2] not in tenants}
         for tenant in tenants:
-            self.shares.pop(tenant, None)
+            self.share_buckets.pop(tenant, None)
 
-    def admit(self, now: float, caller: Caller, settings: api.Settings) -> tuple[float, int]:
-        """When the first try came, and whether that went beyond its tenant's share."""
-        since, latest, over = self.turned_away.pop(caller, (now, -math.inf, 0))
-        if now - latest > settings.longest_deadline:  # nobody's retry: what it uses of the share is its own
+    def first_try(self, now: float, caller: CallerKey, settings: api.Settings) -> tuple[float, int]:
+        """Return the time of the caller's first try, and 1 if that try exceeded its tenant's share."""
+        first_at, latest_at, over_share = self.turned_away.pop(caller, (now, -math.inf, 0))
+        if now - latest_at > settings.longest_deadline:  # not a redial: it counts in its tenant's share
             return now, self._over_share(now, caller[2], settings)
-        return since, over
+        return first_at, over_share
 
     def _over_share(self, now: float, tenant: int, settings: api.Settings) -> int:
-        """1 for traffic beyond this node's part of the tenant's fleet-wide allowance."""
+        """Return 1 for a call beyond this node's part of the tenant's fleet-wide allowance."""
         if tenant >= len(settings.allowances):
             return 0
         rate = settings.allowances[tenant] / settings.instances / 1000.0
-        depth = 1.0 + rate * RECOVER_MS
-        return int(not self.shares.setdefault(tenant, TokenBucket(depth, now)).take(now, rate, depth))
+        depth = 1.0 + rate * EVIDENCE_MAX_AGE_MS
+        return int(not self.share_buckets.setdefault(tenant, TokenBucket(depth, now)).take(now, rate, depth))
 
-    def turn_away(self, now: float, call: Call, patience: float) -> None:
-        """Remember a caller that leaves without its call: the same number soon again is its retry."""
+    def record_refusal(self, now: float, call: Call, patience: float) -> None:
+        """Remember a caller that leaves without its call, so that the same number soon again is a redial."""
         while self.turned_away:
             oldest = next(iter(self.turned_away))
-            if self.turned_away[oldest][1] >= now - patience and len(self.turned_away) < REMEMBERED:
+            if self.turned_away[oldest][1] >= now - patience and len(self.turned_away) < MAX_REMEMBERED:
                 break
             del self.turned_away[oldest]
-        if call.caller[0] and call.caller[0] not in self.busy:
-            self.turned_away[call.caller] = call.since, now, call.over
+        if call.caller[0] and call.caller[0] not in self.busy_until:
+            self.turned_away[call.caller] = call.first_try_at, now, call.over_share
 
-    def all_busy(self, now: float, number: int) -> None:
-        """All lines of a number are busy: who calls it now is turned away here, at no cost to a server."""
-        self.busy = {known: until for known, until in self.busy.items() if until > now}
+    def mark_busy(self, now: float, number: int) -> None:
+        """All lines of a number are busy: refuse calls to it for a while without asking a server."""
+        self.busy_until = {known: until for known, until in self.busy_until.items() if until > now}
         if number:
-            self.busy[number] = now + BUSY_MS
+            self.busy_until[number] = now + BUSY_NUMBER_MS
--- a/seamlb/policy/cold_start.py
+++ b/seamlb/policy/cold_start.py
@@ -1,14 +1,17 @@
-"""Rule 4: how much a cold server gets from this node, so that all nodes together do not overload it."""
+"""Rule 4: this node's budget for a cold server, such that all nodes together do not overload it."""
 
 import math
 
-from seamlb.estimators import poisson_mean
+from seamlb.estimators import max_poisson_mean
 
-CHANCE = 1e-3  # bound on the chance that all nodes together send a cold server too much in a window
+OVERLOAD_PROBABILITY = 1e-3  # bound on the probability that all nodes together exceed the limit in a window
 
 
 def cold_budget(allowed: float, nodes: int) -> tuple[float, float]:
-    """What part of rule 4's N all nodes together use, and the tokens each may save (design/cold-start.md)."""
-    falls = allowed + 2.0 * math.sqrt(allowed) + 2.0
-    mean = poisson_mean(falls, CHANCE)
-    return mean / allowed, max(1.0, (falls - mean) / nodes)
+    """Return the fraction of rule 4's N that all nodes together use, and the burst of each node in tokens.
+
+    `allowed` is N, the set-ups that a cold server may get in a window (docs/design/cold-start.md).
+    """
+    overload = allowed + 2.0 * math.sqrt(allowed) + 2.0
+    mean = max_poisson_mean(overload, OVERLOAD_PROBABILITY)
+    return mean / allowed, max(1.0, (overload - mean) / nodes)
--- a/seamlb/policy/controller.py
+++ b/seamlb/policy/controller.py
@@ -1,206 +1,218 @@
-"""The controller: takes events, joins the decisions, returns actions; the types are in seamlb/api.py."""
+"""The controller: takes events, combines the decisions, returns actions; the types are in seamlb/api.py."""
 
 import math
 
 from seamlb import api
-from seamlb.observations import Call, Pending, Server
-from seamlb.policy.callers import Callers
+from seamlb.observations import Call, PendingSetUp, Server
+from seamlb.policy.callers import CallerHistory
 from seamlb.policy.gating import Gate
-from seamlb.policy.node import FADE_MS, STALL_MS, Node
+from seamlb.policy.node import RATE_FADE_MS, STALL_MS, Node
 from seamlb.policy.ranking import Ranking
 from seamlb.policy.routing import Router
 
-PROCESSOR_FULL = 3  # note of a processor that turns set-ups away
-LINES_BUSY = 4  # note of a number whose lines are all busy
-BEAT = 1 << 63  # the token of the alarm that shows stalls; calls are below 2^52
-OVERTAKEN = 3  # later set-ups answered after which one is lost: a processor takes them in turn
-OVERTAKEN_MS = 50.0  # ms by which they must have been sent later: what travels may change places
-FAULTY = 0.3  # share of faults above which a fault is the server's and not the call's
+PROCESSOR_FULL = 3  # note of an attempt refused because the server's processor is overloaded
+LINES_BUSY = 4  # note of an attempt to a number whose lines are all busy
+STALL_TIMER = 1 << 63  # token of the timer that detects stalls; call ids are below 2^52
+OVERTAKEN_LIMIT = 3  # later set-ups answered before a set-up counts as lost: a server answers in order
+OVERTAKING_MARGIN_MS = 50.0  # ms that a set-up must have been sent later to overtake: the network may reorder
+FAULTY_ERROR_SHARE = 0.3  # share of errors above which an error is blamed on the server, not on the call
 
 
 class Controller:
-    """Decides for one access node; feed it events in order, carry out the actions it returns."""
+    """Decides for one access node: takes events in order and returns the actions to carry out."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.node = Node(settings, seed)
         self.gate = Gate(self.node)
         self.router = Router(self.node, self.gate)
-        self.callers = Callers()
+        self.callers = CallerHistory()
         self.calls: dict[int, Call] = {}
-        self.beat = -math.inf  # when the next alarm for stalls is due
-        self.out: list[api.Action] = []
+        self.stall_timer_at = -math.inf  # when the stall timer fires next
+        self.actions: list[api.Action] = []
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take one event at clock time `now`; returns the actions in order."""
-        self.out, self.node.began = [], min(self.node.began, now)
+        """Process one event at clock time `now` (ms); returns the actions in order."""
+        self.actions, self.node.first_event_at = [], min(self.node.first_event_at, now)
         self.node.clock.advance(now)
-        if now >= self.beat:
-            self.beat = now + STALL_MS / 2
-            self.out.append(api.SetTimer(BEAT, self.beat))
+        if now >= self.stall_timer_at:
+            self.stall_timer_at = now + STALL_MS / 2
+            self.actions.append(api.SetTimer(STALL_TIMER, self.stall_timer_at))
         match event:
             case api.CallRequest():
-                self._demand(now, event)
+                self._call_requested(now, event)
             case api.Answered():
-                self._stands(now, event)
+                self._answered(now, event)
             case api.Ended():
                 self._ended(now, event)
             case api.HungUp():
                 if call := self.calls.get(event.call):
-                    self.callers.turn_away(now, call, self.node.settings.longest_deadline)
+                    self.callers.record_refusal(now, call, self.node.settings.longest_deadline)
                 self._forget(event.call)
             case api.TimerFired():
                 if (call := self.calls.get(event.token)) and call.server is None and now >= call.not_before:
                     self._place(now, call)
             case api.ListChange():
-                self._list(now, event)
+                self._list_changed(now, event)
             case api.ServerReport():
-                self.node.report(now, event.server, event.report)
+                self.node.record_report(now, event.server, event.report)
             case api.NewSettings():
-                self._retune(event.settings)
-        return self.out
+                self._apply_settings(event.settings)
+        return self.actions
 
     def update_inputs(self, settings: api.Settings) -> None:
-        """Take other inputs of the same classes and tenants; ranks stay."""
+        """Use other settings with the same classes and tenants; ranks stay as they are."""
         self.node.settings = settings
 
-    def _retune(self, settings: api.Settings) -> None:
-        """Take new settings: what is known of calls and servers stays."""
-        self.callers.forget(*settings.reassigned_ids(self.node.settings))
-        had = {rank: traffic for traffic, rank in self.node.ranking.ranks.items()}
+    def _apply_settings(self, settings: api.Settings) -> None:
+        """Use new settings; the state of calls and servers is kept."""
+        self.callers.forget_reassigned(*settings.reassigned_ids(self.node.settings))
+        old_traffic = {rank: traffic for traffic, rank in self.node.ranking.ranks.items()}
         self.node.settings, self.node.ranking = settings, Ranking.of(settings)
         lowest = len(self.node.ranking.floor_ratios) - 1
         for call in self.calls.values():
-            call.rank = self.node.ranking.ranks.get(had[call.rank], lowest)
+            call.rank = self.node.ranking.ranks.get(old_traffic[call.rank], lowest)
         for server in self.node.fleet.servers.values():
-            server.opens, server.depth = {}, min(server.depth, lowest + 1)
+            server.next_admission, server.gapped_ranks = {}, min(server.gapped_ranks, lowest + 1)
 
-    def _list(self, now: float, event: api.ListChange) -> None:
+    def _list_changed(self, now: float, event: api.ListChange) -> None:
         if self.node.settings.on_request and (event.scope == api.Scope.FAILED or not self.node.fleet.listed):
-            self.out.append(api.Subscribe(True))
+            self.actions.append(api.Subscribe(True))
         if event.scope != api.Scope.FAILED:
-            self.node.update(now, event)
+            self.node.update_list(now, event)
 
-    def _demand(self, now: float, event: api.CallRequest) -> None:
+    def _call_requested(self, now: float, event: api.CallRequest) -> None:
         settings = self.node.settings
         kind = settings.classes[event.call_class]
         caller = event.number_key, event.call_class, event.tenant
-        since, over = self.callers.admit(now, caller, settings)
-        late = int(kind.late_worth < 1.0 and now - since >= kind.on_time)
-        rank = self.node.ranking.ranks[event.call_class, over, late]
+        first_at, over_share = self.callers.first_try(now, caller, settings)
+        late = int(kind.late_worth < 1.0 and now - first_at >= kind.on_time)
+        rank = self.node.ranking.ranks[event.call_class, over_share, late]
         width, cap = event.slots or kind.width, settings.limits.attempts_cap
-        over_by, target, transit = now + event.time_left, event.destination, event.in_transit
-        call = Call(event.call, kind, rank, over_by, target, transit, width, caller, since, over, cap)
+        until, target, transit = now + event.time_left, event.destination, event.in_transit
+        call = Call(event.call, kind, rank, until, target, transit, width, caller, first_at, over_share, cap)
         self.calls[event.call] = call
-        if now < self.callers.busy.get(event.number_key, 0.0):
+        if now < self.callers.busy_until.get(event.number_key, 0.0):
             self._give_up(now, call)
         else:
             self._place(now, call)
 
     def _place(self, now: float, call: Call) -> None:
-        """Send the call to a server whose gate passes, or give it up at once."""
-        left = call.over_by - now
-        server = self.router.route(now, call) if left > 0 and call.attempts < call.cap else None
+        """Send the call to a server that admits it, or give it up at once."""
+        time_left = call.gives_up_at - now
+        server = self.router.route(now, call) if time_left > 0 and call.attempts < call.max_attempts else None
         if server is None:
             return self._give_up(now, call)
-        self.gate.passed(now, server, call.rank)
+        self.gate.record_admission(now, server, call.rank)
         server.tokens -= 1.0
         call.server, call.attempts, call.overtaken = server, call.attempts + 1, 0
         ranking, awake = self.node.ranking, self.node.clock.awake
-        due = now + min(ranking.limits[ranking.limit_of[call.rank]], left)
-        server.pending[call.ident] = Pending(due, awake, len(server.pending) + 1)
-        server.sent = awake
-        self.out.append(api.SendSetUp(call.ident, server.entry.server, left))
-        self.gate.detect(now, server)
+        due = now + min(ranking.targets[ranking.target_index[call.rank]], time_left)
+        server.pending[call.ident] = PendingSetUp(due, awake, len(server.pending) + 1)
+        server.last_sent_at = awake
+        self.actions.append(api.SendSetUp(call.ident, server.entry.server, time_left))
+        self.gate.update_level(now, server)
 
     def _give_up(self, now: float, call: Call) -> None:
-        """The final answer, at once; only a set-up that may have run forbids refusing."""
+        """Give the final answer at once: refuse, or fail if an unrepeatable attempt may have run."""
         del self.calls[call.ident]
-        settings, kind = self.node.settings, call.kind
-        self.callers.turn_away(now, call, settings.longest_deadline)
-        if call.ran is None or kind.effect == "free" or (kind.effect == "guarded" and kind.group == "all"):
+        settings, call_class = self.node.settings, call.call_class
+        self.callers.record_refusal(now, call, settings.longest_deadline)
+        if (
+            call.first_run is None
+            or call_class.effect == "free"
+            or (call_class.effect == "guarded" and call_class.group == "all")
+        ):
             backoff = settings.limits.max_retry_after * self.node.rng.uniform(0.25, 0.75)
-            self.out.append(api.Refuse(call.ident, backoff))  # whether or not callers are known to heed it
+            # The back-off is sent even if the settings don't say that callers respect it.
+            self.actions.append(api.Refuse(call.ident, backoff))
         else:
-            self.out.append(api.Fail(call.ident))
+            self.actions.append(api.Fail(call.ident))
 
     def _forget(self, ident: int) -> None:
         if (call := self.calls.pop(ident, None)) and call.server:
             call.server.pending.pop(ident, None)
 
-    def _stands(self, now: float, event: api.Answered) -> None:
+    def _answered(self, now: float, event: api.Answered) -> None:
         self.calls.pop(event.call, None)
         if (server := self.node.fleet.servers.get(event.server)) is None:
             return
-        self.node.heard(now, server)
-        if pending := server.pending.pop(event.call, None):
+        self.node.record_answer(now, server)
+        if set_up := server.pending.pop(event.call, None):
             awake = self.node.clock.awake
-            delay = min(event.delay, awake - pending.sent)
-            server.ratios.append((awake, delay / pending.outstanding))
-            server.wait.put(now, delay)
-            server.answered(False)
-            self._overtake(server, pending.sent)
-            self.node.answers.add(now, 1.0 / FADE_MS / self.node.fleet.lines)
-            self.gate.detect(now, server)
-
-    def _overtake(self, server: Server, sent: float) -> None:
-        """A set-up sent at `sent` was answered: one that many overtook is lost, and called off."""
-        server.passed = max(server.passed, sent)
-        for ident, pending in list(server.pending.items()):
-            if pending.sent >= sent - OVERTAKEN_MS:
+            delay = min(event.delay, awake - set_up.sent_at)
+            server.recent_delays.append((awake, delay / set_up.outstanding))
+            server.queue_delay.set(now, delay)
+            server.record_result(False)
+            self._count_overtaken(server, set_up.sent_at)
+            self.node.answers_per_line.add(now, 1.0 / RATE_FADE_MS / self.node.fleet.lines)
+            self.gate.update_level(now, server)
+
+    def _count_overtaken(self, server: Server, sent_at: float) -> None:
+        """A set-up sent at `sent_at` was answered: cancel earlier ones that too many have overtaken."""
+        server.newest_answered_sent_at = max(server.newest_answered_sent_at, sent_at)
+        for ident, set_up in list(server.pending.items()):
+            if set_up.sent_at >= sent_at - OVERTAKING_MARGIN_MS:
                 break
             if (call := self.calls.get(ident)) and call.server is server:
                 call.overtaken += 1
-                if call.overtaken == OVERTAKEN and self.node.settings.limits.cancel:
-                    self.out.append(api.Cancel(ident, call.attempts - 1))
+                if call.overtaken == OVERTAKEN_LIMIT and self.node.settings.limits.cancel:
+                    self.actions.append(api.Cancel(ident, call.attempts - 1))
 
     def _ended(self, now: float, event: api.Ended) -> None:
-        self.node.report(now, event.server, event.report)
+        self.node.record_report(now, event.server, event.report)
         server = self.node.fleet.servers.get(event.server)
         if server and event.report:
-            self.node.heard(now, server)
-        if server and (pending := server.pending.pop(event.call, None)):
-            self._learn(now, server, pending, event)
+            self.node.record_answer(now, server)
+        if server and (set_up := server.pending.pop(event.call, None)):
+            self._update_load(now, server, set_up, event)
         if (call := self.calls.get(event.call)) is None or event.final:
             return self._forget(event.call)
         entry, call.server = call.server and call.server.entry, None
-        if entry and event.status not in api.NEVER_RAN and not call.ran:
-            call.ran = (entry, now - event.delay)
-        self._avoid_again(call, server, event)
+        if entry and event.status not in api.NEVER_RAN and not call.first_run:
+            call.first_run = (entry, now - event.delay)
+        self._exclude_server(call, server, event)
         self._retry(now, call, event)
 
-    def _learn(self, now: float, server: Server, pending: Pending, event: api.Ended) -> None:
-        """What the end of an attempt tells of its server's load."""
+    def _update_load(self, now: float, server: Server, set_up: PendingSetUp, event: api.Ended) -> None:
+        """Update the estimate of a server's load by the end of an unanswered set-up."""
         full, timeout = event.status == api.Status.FULL, event.status == api.Status.TIMEOUT
-        missed = timeout and pending.sent >= server.passed
-        if missed and server.heard <= pending.sent:
-            server.lost = self.node.clock.awake
+        missed = timeout and set_up.sent_at >= server.newest_answered_sent_at
+        if missed and server.last_answer_at <= set_up.sent_at:
+            server.timed_out_at = self.node.clock.awake
         if missed or (full and event.note & 15 == PROCESSOR_FULL):
             return self.gate.close(now, server)
-        self.gate.detect(now, server)
+        self.gate.update_level(now, server)
         if full:
-            # All nodes rush to the few lines told free; one turned away knows better till next told.
-            server.idle, server.reported_at = 0.0, now
-
-    def _avoid_again(self, call: Call, server: Server | None, event: api.Ended) -> None:
-        """Does the call never go there again? A server that fails many calls may yet take this one."""
-        fault = event.status == api.Status.ERROR and event.note != LINES_BUSY
-        if server and fault and event.server != call.faulted:  # once a call: it may fail wherever it goes
-            call.faulted = event.server
-            server.answered(True)
-        # The last try is another's; else a fault may be the call's own doing, and repeats only cost work.
-        if server is None or not fault or server.faults < FAULTY or call.attempts >= call.cap - 1:
-            call.tried.append(event.server)
+            # All nodes send to the few lines reported free; after a refusal none counts as free
+            # until the next report.
+            server.free_lines, server.reported_at = 0.0, now
+
+    def _exclude_server(self, call: Call, server: Server | None, event: api.Ended) -> None:
+        """Exclude the server from further attempts, unless it fails many calls and may yet take this one."""
+        error = event.status == api.Status.ERROR and event.note != LINES_BUSY
+        if server and error and event.server != call.last_failed_server:  # counted once per call
+            call.last_failed_server = event.server
+            server.record_result(True)
+        # The last attempt goes to another server. On a healthy server the call itself may be the cause of the
+        # error: repeating it there would only add load.
+        if (
+            server is None
+            or not error
+            or server.error_share < FAULTY_ERROR_SHARE
+            or call.attempts >= call.max_attempts - 1
+        ):
+            call.excluded_servers.append(event.server)
 
     def _retry(self, now: float, call: Call, event: api.Ended) -> None:
-        """Place the call again, at once or after the bar of rule 5, or give it up."""
+        """Place the call again, at once or after the wait of rule 5, or give it up."""
         contract = self.node.settings.contract
-        call.not_before = now + contract.clear_wait * (event.status in api.BARRING)
+        call.not_before = now + contract.clear_wait * (event.status in api.DELAYS_RETRY)
         if event.note == LINES_BUSY:
-            self.callers.all_busy(now, call.caller[0])
-        too_late = call.over_by - call.not_before <= contract.answer_slack
+            self.callers.mark_busy(now, call.caller[0])
+        too_late = call.gives_up_at - call.not_before <= contract.answer_slack
         if event.note == LINES_BUSY or event.status == api.Status.OK or too_late:
             self._give_up(now, call)
         elif call.not_before > now:
-            self.out.append(api.SetTimer(call.ident, call.not_before))
+            self.actions.append(api.SetTimer(call.ident, call.not_before))
         else:
             self._place(now, call)
--- a/seamlb/policy/gating.py
+++ b/seamlb/policy/gating.py
@@ -1,77 +1,83 @@
-"""Admission: a server's level by the deadline conditions, and gapping of ranks above their floors."""
+"""Admission: a server's overload level by the deadline conditions, gapping of ranks above their floors."""
 
 from seamlb.observations import Server
 from seamlb.policy.deadlines import meets_deadlines
-from seamlb.policy.node import STREAK, Node
+from seamlb.policy.node import DETECTION_STREAK, Node
 
-MARGIN = 0.9  # the paper's f, a factor on the right side of (4) and (6), for level 1
-STEP_MS = 50.0  # ms, the paper's X, between gapping (DESIGN: and lifting) one rank and the next
+LEVEL_1_MARGIN = 0.9  # the paper's f, a factor on the right side of (4) and (6)
+GAPPING_STEP_MS = 50.0  # ms, the paper's X: from gapping (or lifting) one rank to the next
 FLOOR_LOAD = 0.1  # left side of (1) when all ranks run at their floors
 
 
 class Gate:
-    """Levels: 0 takes all ranks, 1 gaps one rank more with each step, 2 gaps all of them."""
+    """Levels: 0 admits all ranks, 1 gaps one rank more with each step, 2 gaps all ranks."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
 
-    def floors(self, now: float, server: Server) -> list[float]:
-        """Guaranteed rates per rank; (1) holds with this node's part of the server in place of 1/x."""
+    def floor_rates(self, now: float, server: Server) -> list[float]:
+        """Return the guaranteed rates by rank, calls per ms.
+
+        They satisfy (1) with this node's part of the server's rate in place of 1/x.
+        """
         ratios = self.node.ranking.floor_ratios
         scale = FLOOR_LOAD * self.node.answer_rate(now, server) / sum(ratios)
         return [ratio * scale for ratio in ratios]
 
-    def detect(self, now: float, server: Server) -> None:
-        """Test the conditions; after a streak of equal verdicts the level follows."""
+    def update_level(self, now: float, server: Server) -> None:
+        """Test the conditions; the level changes after a streak of equal results."""
         clock, ranking = self.node.clock, self.node.ranking
         if now == clock.stalled_at:
             return
-        delay = server.delay(clock.awake)
-        per_limit = [0.0] * len(ranking.limits)
-        for rank, floor in enumerate(self.floors(now, server)):
-            per_limit[ranking.limit_of[rank]] += floor
-        remaining = [one.due - now for one in server.pending.values()]
-        wait = server.wait.get(now)  # the backlog of all nodes ahead, as last known
+        delay = server.delay_per_set_up(clock.awake)
+        floor_by_target = [0.0] * len(ranking.targets)
+        for rank, floor in enumerate(self.floor_rates(now, server)):
+            floor_by_target[ranking.target_index[rank]] += floor
+        remaining = [set_up.due - now for set_up in server.pending.values()]
+        queue_delay = server.queue_delay.get(now)  # caused by the set-ups of all nodes
 
         def meets(margin: float) -> bool:
-            in_time = wait < margin * ranking.limits[0]
-            return in_time and meets_deadlines(remaining, per_limit, delay, ranking.limits, margin)
+            in_time = queue_delay < margin * ranking.targets[0]
+            return in_time and meets_deadlines(remaining, floor_by_target, delay, ranking.targets, margin)
 
-        server.verdicts.append(int(not meets(MARGIN)) if meets(1.0) else 2)
-        if len(server.verdicts) == self.node.streak:
-            server.level = max(min(server.verdicts), min(server.level, max(server.verdicts)))
-        self._step(now, server)
+        server.recent_levels.append(int(not meets(LEVEL_1_MARGIN)) if meets(1.0) else 2)
+        if len(server.recent_levels) == self.node.streak:
+            server.level = max(min(server.recent_levels), min(server.level, max(server.recent_levels)))
+        self._step_gapping(now, server)
 
     def close(self, now: float, server: Server) -> None:
-        """Gap all ranks at once: a set-up has run out of time or was turned away."""
-        server.verdicts.extend([2] * STREAK)
+        """Gap all ranks at once after a set-up has timed out or was refused for overload."""
+        server.recent_levels.extend([2] * DETECTION_STREAK)
         server.level = 2
-        server.wait.put(now, max(server.wait.get(now), self.node.ranking.longest))
-        self._step(now, server)
+        server.queue_delay.set(now, max(server.queue_delay.get(now), self.node.ranking.longest_target))
+        self._step_gapping(now, server)
 
-    def _step(self, now: float, server: Server) -> None:
+    def _step_gapping(self, now: float, server: Server) -> None:
         ranks = len(self.node.ranking.floor_ratios)
         if server.level == 2:
-            server.depth, server.stepped = ranks, now
+            server.gapped_ranks, server.gapping_changed_at = ranks, now
             return
         goal = ranks if server.level == 1 else 0
-        steps = min(abs(goal - server.depth), (now - server.stepped) // STEP_MS if server.depth else 1)
+        steps = min(
+            abs(goal - server.gapped_ranks),
+            (now - server.gapping_changed_at) // GAPPING_STEP_MS if server.gapped_ranks else 1,
+        )
         if steps:
-            server.depth += int(steps) if goal > server.depth else -int(steps)
-            server.stepped = now
+            server.gapped_ranks += int(steps) if goal > server.gapped_ranks else -int(steps)
+            server.gapping_changed_at = now
 
-    def passes(self, now: float, server: Server, rank: int) -> bool:
-        """Does a call of this rank get through? A gapped rank keeps its floor."""
-        if server.depth:
-            self.detect(now, server)
-        if rank < len(self.node.ranking.floor_ratios) - server.depth:
-            server.opens.pop(rank, None)
+    def admits(self, now: float, server: Server, rank: int) -> bool:
+        """Return whether a call of this rank may be sent; a gapped rank still gets its floor rate."""
+        if server.gapped_ranks:
+            self.update_level(now, server)
+        if rank < len(self.node.ranking.floor_ratios) - server.gapped_ranks:
+            server.next_admission.pop(rank, None)
             return True
-        gap = 1.0 / self.floors(now, server)[rank]
-        return now >= server.opens.setdefault(rank, now + gap * self.node.rng.random())
+        interval = 1.0 / self.floor_rates(now, server)[rank]
+        return now >= server.next_admission.setdefault(rank, now + interval * self.node.rng.random())
 
-    def passed(self, now: float, server: Server, rank: int) -> None:
-        """A call of this rank goes there: a gapped rank's next interval begins."""
-        if rank in server.opens:
-            gap = 1.0 / self.floors(now, server)[rank]
-            server.opens[rank] = now + gap - (now - server.opens[rank]) % gap
+    def record_admission(self, now: float, server: Server, rank: int) -> None:
+        """Start a gapped rank's next interval once a call of this rank is sent."""
+        if rank in server.next_admission:
+            interval = 1.0 / self.floor_rates(now, server)[rank]
+            server.next_admission[rank] = now + interval - (now - server.next_admission[rank]) % interval
--- a/seamlb/policy/node.py
+++ b/seamlb/policy/node.py
@@ -1,4 +1,4 @@
-"""What this node knows of itself and of the fleet; the decisions share it."""
+"""State of this access node and its estimates of the servers, shared by all decisions."""
 
 import math
 import random
@@ -6,66 +6,77 @@
 
 from seamlb import api
 from seamlb.estimators import AwakeClock, DecayingValue
-from seamlb.observations import RECOVER_MS, Fleet, Server
+from seamlb.observations import EVIDENCE_MAX_AGE_MS, Fleet, Server
 from seamlb.policy.ranking import Ranking
 
-STREAK = 5  # the paper's consecutive detections before a level changes, of all nodes: each sees its part
-STALL_MS = 250.0  # ms between two events beyond which this node stood still
-FADE_MS = 30000.0  # ms, time constant of this node's rate of answers
-SILENT_TIMES = 2.0  # times its recent slowness after which a server is silent
-USUAL = 2.0  # answers that what the settings let a node expect weighs as much as
+DETECTION_STREAK = 5  # the paper's equal detections in a row that change a level, divided by the nodes
+STALL_MS = 250.0  # ms between two events above which this process counts as stalled
+RATE_FADE_MS = 30000.0  # ms, time constant of the estimated rate of answers
+SILENCE_FACTOR = 2.0  # times the recent queueing delay after which a server counts as silent
+PRIOR_WEIGHT = 2.0  # answers; weight of the rate expected from the settings
 
 
 class Node:
-    """State of one access node; times are milliseconds of the clock, rates are per millisecond."""
+    """State of one access node; times are ms of the caller's clock, rates are per ms."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.ranking = settings, Ranking.of(settings)
         self.rng = random.Random(seed)
         self.clock = AwakeClock(STALL_MS)
-        self.began = math.inf  # the first event
-        self.answers = DecayingValue(FADE_MS)  # of all servers to this node, per line
-        self.streak = max(1, round(STREAK / settings.instances))
+        self.first_event_at = math.inf
+        self.answers_per_line = DecayingValue(RATE_FADE_MS)  # rate, from all servers to this node
+        self.streak = max(1, round(DETECTION_STREAK / settings.instances))
         self.fleet = Fleet(self.streak)
 
     def answer_rate(self, now: float, server: Server) -> float:
-        """Set-ups to count on from it once warm: by lines, of all answers, at first of all allowances."""
-        settings, usual = self.settings, self.ranking.usual
-        count, span = (USUAL / FADE_MS, USUAL / FADE_MS / usual) if usual else (0.0, 0.0)
-        span += 1.0 - math.exp((self.began - now) / FADE_MS)  # the rate began at nought
-        rate = (count / self.fleet.lines + self.answers.get(now)) / span if span else 0.0
+        """Estimate the set-ups per ms that a warm server takes from this node.
+
+        It is the server's part, by lines, of all answers; at first the tenants' allowances are used instead.
+        """
+        settings, expected = self.settings, self.ranking.expected_rate
+        count, span = (
+            (PRIOR_WEIGHT / RATE_FADE_MS, PRIOR_WEIGHT / RATE_FADE_MS / expected) if expected else (0.0, 0.0)
+        )
+        span += 1.0 - math.exp((self.first_event_at - now) / RATE_FADE_MS)  # the rate starts at zero
+        rate = (count / self.fleet.lines + self.answers_per_line.get(now)) / span if span else 0.0
         cold = now - server.cold_from < settings.contract.cold
-        # At least a trickle, which of all nodes together must not be much where a server is cold.
-        return max(rate * server.size(), 1.0 / FADE_MS / (settings.instances if cold else 1))
+        # A minimum rate keeps every server in use; for a cold server all nodes together share it.
+        return max(rate * server.lines(), 1.0 / RATE_FADE_MS / (settings.instances if cold else 1))
 
     def silent(self, now: float, server: Server) -> bool:
-        """Nothing back since the oldest set-up unanswered; after a time-out it is tried now and then."""
+        """Return whether nothing came back since the oldest unanswered set-up was sent.
+
+        After a time-out the server counts as silent except for an occasional trial set-up.
+        """
         awake = self.clock.awake
-        if server.heard < server.lost:
-            return bool(server.pending) or awake - server.sent < RECOVER_MS
-        oldest = next((one.sent for one in server.pending.values()), math.inf)
-        patience = max(self.ranking.limits[0], SILENT_TIMES * server.wait.get(now))
-        return server.heard <= oldest and awake - oldest > patience
+        if server.last_answer_at < server.timed_out_at:
+            return bool(server.pending) or awake - server.last_sent_at < EVIDENCE_MAX_AGE_MS
+        oldest = next((set_up.sent_at for set_up in server.pending.values()), math.inf)
+        timeout = max(self.ranking.targets[0], SILENCE_FACTOR * server.queue_delay.get(now))
+        return server.last_answer_at <= oldest and awake - oldest > timeout
 
     def excludes(self, now: float, server: Server) -> bool:
-        """Does it get no call now, whichever it is?"""
+        """Return whether the server gets no calls at present, of whatever class."""
         ready = server.entry.availability == api.Availability.READY  # rule 3
         return not ready or self.silent(now, server)
 
-    def heard(self, now: float, server: Server) -> None:
-        """Heard again after a long silence it counts as cold; harms when it was only out of reach."""
+    def record_answer(self, now: float, server: Server) -> None:
+        """Record a sign of life; after a long silence the server counts as cold, as it may have restarted.
+
+        A server that was only unreachable loses capacity by this.
+        """
         awake = self.clock.awake
-        if awake - server.heard > RECOVER_MS and self.silent(now, server):
-            server.cold_from, server.tokens, server.filled = now, self.rng.random(), now
-        server.heard = awake
+        if awake - server.last_answer_at > EVIDENCE_MAX_AGE_MS and self.silent(now, server):
+            server.cold_from, server.tokens, server.refilled_at = now, self.rng.random(), now
+        server.last_answer_at = awake
 
-    def update(self, now: float, event: api.ListChange) -> None:
-        """Take news of the list."""
+    def update_list(self, now: float, event: api.ListChange) -> None:
+        """Apply a change of the server list."""
         for server in self.fleet.update(now, event, self.settings.contract.cold):
-            # The budget begins at random, or all nodes' first sends would come at the same moment.
+            # A random first budget, or the first sends of all nodes would coincide.
             server.tokens = self.rng.random()
 
-    def report(self, now: float, ident: int, report: Sequence[float]) -> None:
-        """Take a server's load report."""
-        seen = dict(zip(self.settings.fields, report, strict=False))
-        self.fleet.report(now, ident, seen, self.settings.contract.cold)
+    def record_report(self, now: float, ident: int, report: Sequence[float]) -> None:
+        """Record a server's load report."""
+        values = dict(zip(self.settings.fields, report, strict=False))
+        self.fleet.record_report(now, ident, values, self.settings.contract.cold)
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -52,8 +52,8 @@
         """A process that has run for long and takes `rate` calls a second."""
         process = Controller(self.settings, self.rng.randrange(1 << 30))
         listed(process, 0.0, *range(1, SERVERS + 1))
-        process.node.began = -math.inf
-        process.node.answers.put(0.0, rate / 1000.0 / process.node.fleet.lines)
+        process.node.first_event_at = -math.inf
+        process.node.answers_per_line.set(0.0, rate / 1000.0 / process.node.fleet.lines)
         process.handle(STARTED, self.started)
         return process
 
--- a/tests/mechanism.py
+++ b/tests/mechanism.py
@@ -17,8 +17,8 @@
 
 def takes(controller: Controller, rate: float, now: float = 0.0) -> None:
     """Let the node have seen `rate` answers a millisecond, for ever."""
-    controller.node.began = -math.inf
-    controller.node.answers.put(now, rate / controller.node.fleet.lines)
+    controller.node.first_event_at = -math.inf
+    controller.node.answers_per_line.set(now, rate / controller.node.fleet.lines)
 
 
 def wait(controller: Controller, start: float, end: float) -> None:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from seamlb import api
-from seamlb.policy.callers import BUSY_MS, REMEMBERED
+from seamlb.policy.callers import BUSY_NUMBER_MS, MAX_REMEMBERED
 from seamlb.policy.controller import LINES_BUSY, Controller
 from tests.mechanism import late_worth, wait
 from tests.support import demand, ended, listed, sent_to, settings
@@ -39,14 +39,14 @@
     # Another caller: the share was used by the first.
     assert controller.calls[4].rank == controller.node.ranking.ranks[0, 1, 0]
     controller.handle(15_000.0, api.CallRequest(5, 0, 0, 3000.0, 1, number_key=77))
-    assert controller.calls[5].since == 15_000.0  # too long ago to be a redial
+    assert controller.calls[5].first_try_at == 15_000.0  # too long ago to be a redial
 
 
 def test_callers_turned_away_are_forgotten_in_time_and_in_number() -> None:
     controller = Controller(settings(Instances=1), 5)
-    for call in range(2 * REMEMBERED):
+    for call in range(2 * MAX_REMEMBERED):
         controller.handle(1.0, api.CallRequest(call, 0, 0, 3000.0, 1, number_key=call + 1))  # no server: refused
-    assert len(controller.callers.turned_away) == REMEMBERED
+    assert len(controller.callers.turned_away) == MAX_REMEMBERED
     controller.handle(20_000.0, api.CallRequest(call + 1, 0, 0, 3000.0, 1, number_key=call + 2))
     assert len(controller.callers.turned_away) == 1
 
@@ -59,8 +59,8 @@
     assert any(isinstance(one, api.Refuse) for one in controller.handle(20.0, busy))
     assert sent_to(controller.handle(30.0, api.CallRequest(2, 1, 0, 3000.0, 1, number_key=77))) == []
     assert sent_to(controller.handle(40.0, api.CallRequest(3, 1, 0, 3000.0, 1, number_key=78))) == [1]
-    wait(controller, 40.0, 30.0 + BUSY_MS)
-    assert sent_to(controller.handle(30.0 + BUSY_MS, api.CallRequest(4, 1, 0, 3000.0, 1, number_key=77)))
+    wait(controller, 40.0, 30.0 + BUSY_NUMBER_MS)
+    assert sent_to(controller.handle(30.0 + BUSY_NUMBER_MS, api.CallRequest(4, 1, 0, 3000.0, 1, number_key=77)))
 
 
 def test_callers_of_one_tenant_who_redial_at_once_use_up_their_own_share() -> None:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -7,7 +7,7 @@
 import pytest
 
 from seamlb.policy import routing
-from seamlb.policy.cold_start import CHANCE, cold_budget
+from seamlb.policy.cold_start import OVERLOAD_PROBABILITY, cold_budget
 from tests.cold_fleet import Case, ColdFleet
 
 FALLS = 2.0  # roots of N, above N + 2
@@ -62,4 +62,4 @@
     # Sends of many nodes, of which each sends seldom, are Poisson at most.
     mean, falls = used * allowed, allowed + 2.0 * allowed**0.5 + 2.0
     below = sum(math.exp(count * math.log(mean) - mean - math.lgamma(count + 1)) for count in range(int(falls) + 1))
-    assert 1.0 - below <= CHANCE
+    assert 1.0 - below <= OVERLOAD_PROBABILITY
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -6,10 +6,10 @@
 import pytest
 
 from seamlb import api
-from seamlb.observations import RECOVER_MS, Pending, Server
+from seamlb.observations import EVIDENCE_MAX_AGE_MS, PendingSetUp, Server
 from seamlb.policy.controller import Controller
 from seamlb.policy.deadlines import meets_deadlines
-from seamlb.policy.node import STREAK
+from seamlb.policy.node import DETECTION_STREAK
 from tests.mechanism import started, wait
 from tests.support import demand, entry, listed, sent_to, settings
 
@@ -58,41 +58,41 @@
 
 
 def test_x_is_the_upper_quartile_and_starts_at_nought() -> None:
-    core = Server(entry(1), 0.0, -math.inf, deque(maxlen=STREAK))
-    assert core.delay(0.0) == 0.0
-    core.ratios.extend((0.0, delay) for delay in (10.0, 20.0, 30.0, 40.0))
-    assert core.delay(0.0) == 40.0
-    core.ratios.extend((0.0, 10.0) for _ in range(4))
-    assert core.delay(0.0) == 30.0
-    assert core.delay(RECOVER_MS) == 0.0  # delays that old tell nothing
-    core.pending[7] = Pending(0.0, 100.0, 2)  # sent at 100 as the second then out
-    assert core.delay(200.0) == 50.0  # 100 ms without an answer, over two
+    core = Server(entry(1), 0.0, -math.inf, deque(maxlen=DETECTION_STREAK))
+    assert core.delay_per_set_up(0.0) == 0.0
+    core.recent_delays.extend((0.0, delay) for delay in (10.0, 20.0, 30.0, 40.0))
+    assert core.delay_per_set_up(0.0) == 40.0
+    core.recent_delays.extend((0.0, 10.0) for _ in range(4))
+    assert core.delay_per_set_up(0.0) == 30.0
+    assert core.delay_per_set_up(EVIDENCE_MAX_AGE_MS) == 0.0  # delays that old tell nothing
+    core.pending[7] = PendingSetUp(0.0, 100.0, 2)  # sent at 100 as the second then out
+    assert core.delay_per_set_up(200.0) == 50.0  # 100 ms without an answer, over two
 
 
 def test_level_changes_only_after_five_detections_in_a_row() -> None:
     controller, core = started()
-    core.ratios.append((0.0, 1.0e6))
-    core.pending[99] = Pending(10.0, 0.0, 1)
-    for _ in range(STREAK - 1):
-        controller.gate.detect(0.0, core)
+    core.recent_delays.append((0.0, 1.0e6))
+    core.pending[99] = PendingSetUp(10.0, 0.0, 1)
+    for _ in range(DETECTION_STREAK - 1):
+        controller.gate.update_level(0.0, core)
     assert core.level == 0
-    controller.gate.detect(0.0, core)
+    controller.gate.update_level(0.0, core)
     assert core.level == 2
     core.pending.clear()
-    core.ratios.clear()
-    for _ in range(STREAK - 1):
-        controller.gate.detect(0.0, core)
+    core.recent_delays.clear()
+    for _ in range(DETECTION_STREAK - 1):
+        controller.gate.update_level(0.0, core)
     assert core.level == 2
-    controller.gate.detect(0.0, core)
+    controller.gate.update_level(0.0, core)
     assert core.level == 0
 
 
 def test_margin_alone_signals_level_1() -> None:
     controller, core = started()
-    core.ratios.append((0.0, 0.95 * controller.node.ranking.limits[0]))
-    core.pending[99] = Pending(1.0, 0.0, 1)
-    for _ in range(STREAK):
-        controller.gate.detect(0.0, core)
+    core.recent_delays.append((0.0, 0.95 * controller.node.ranking.targets[0]))
+    core.pending[99] = PendingSetUp(1.0, 0.0, 1)
+    for _ in range(DETECTION_STREAK):
+        controller.gate.update_level(0.0, core)
     assert core.level == 1
 
 
@@ -104,10 +104,10 @@
             controller.handle(10.0, demand(call))
         if not slept:
             wait(controller, 10.0, 2500.0)
-            controller.node.fleet.servers[1].heard = controller.node.clock.awake
+            controller.node.fleet.servers[1].last_answer_at = controller.node.clock.awake
         for call in range(6, 11):
             controller.handle(2500.0, api.CallRequest(call, 0, 0, 3000.0, 1))
-            controller.node.fleet.servers[1].heard = controller.node.clock.awake
+            controller.node.fleet.servers[1].last_answer_at = controller.node.clock.awake
         assert controller.node.fleet.servers[1].level == level
 
 
@@ -142,10 +142,10 @@
         controller = Controller(settings(Instances=nodes), 5)
         listed(controller, 0.0, 1)
         core = controller.node.fleet.servers[1]
-        core.wait.put(0.0, 1.0e6)
+        core.queue_delay.set(0.0, 1.0e6)
         levels = []
         for _ in range(6):
-            controller.gate.detect(0.0, core)
+            controller.gate.update_level(0.0, core)
             levels.append(core.level)
         assert levels == [0] * (needed - 1) + [2] * (7 - needed)
 
@@ -155,7 +155,7 @@
     listed(controller, 0.0, 1)
     report = (9.0, 9.0, 600.0)
     controller.handle(10.0, api.Ended(7, 0, 1, api.Status.OK, True, 10.0, 0, report))
-    controller.gate.detect(10.0, controller.node.fleet.servers[1])
+    controller.gate.update_level(10.0, controller.node.fleet.servers[1])
     assert controller.node.fleet.servers[1].level == 2
     wait(controller, 10.0, 9000.0)
     controller.handle(9000.0, demand(1))
@@ -175,10 +175,10 @@
     controller = Controller(settings(Instances=250), 5)
     listed(controller, 0.0, 1)
     for stall in (300.0, 600.0, 2000.0):
-        start = controller.node.clock.last + 100.0
+        start = controller.node.clock.last_reading + 100.0
         controller.handle(start, demand(int(start)))
         controller.handle(start + stall, api.Answered(int(start), 0, 1, stall))
-        assert controller.node.fleet.servers[1].wait.get(start + stall) == 0.0
+        assert controller.node.fleet.servers[1].queue_delay.get(start + stall) == 0.0
         assert controller.node.fleet.servers[1].level == 0
 
 
@@ -187,7 +187,7 @@
     now, beats = 0.0, []
     listed(controller, now, 1)
     for _ in range(20):
-        now = controller.beat
+        now = controller.stall_timer_at
         beats += controller.handle(now, api.TimerFired(1 << 63))
     assert all(isinstance(beat, api.SetTimer) for beat in beats)
     assert controller.node.clock.awake == now  # no call for seconds, and yet no stall
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from seamlb.estimators import AwakeClock, DecayingValue, TokenBucket, poisson_mean
+from seamlb.estimators import AwakeClock, DecayingValue, TokenBucket, max_poisson_mean
 
 
 def test_a_value_decays_by_its_time_constant_and_is_replaced() -> None:
     value = DecayingValue(100.0)
     assert value.get(50.0) == 0.0
-    value.put(50.0, 8.0)
+    value.set(50.0, 8.0)
     assert value.get(50.0) == 8.0
     assert value.get(150.0) == pytest.approx(8.0 / math.e)
-    value.put(150.0, 2.0)
+    value.set(150.0, 2.0)
     assert value.get(150.0) == 2.0
 
 
@@ -27,7 +27,7 @@
 def test_events_counted_by_the_time_constant_become_their_rate() -> None:
     value = DecayingValue(1000.0)
     for turn in range(2000):
-        value.add(turn * 5.0, 1.0 / value.span)
+        value.add(turn * 5.0, 1.0 / value.time_constant)
     assert value.get(10_000.0) == pytest.approx(0.2, rel=0.01)
 
 
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("bound", [2.0, 10.0, 75.0, 900.0])
 @pytest.mark.parametrize("chance", [1e-1, 1e-3, 1e-6])
 def test_a_poisson_count_of_the_mean_exceeds_the_bound_as_seldom_as_asked(bound: float, chance: float) -> None:
-    mean = poisson_mean(bound, chance)
+    mean = max_poisson_mean(bound, chance)
 
     def exponent(tried: float) -> float:  # Chernoff's, which rises with the mean
         return bound - tried - bound * math.log(bound / tried)
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -15,7 +15,7 @@
     share = 0
     for call in range(10, 210):
         now = call * 240.0
-        controller.node.fleet.servers[1].idle, controller.node.fleet.servers[1].reported_at = 0.0, now
+        controller.node.fleet.servers[1].free_lines, controller.node.fleet.servers[1].reported_at = 0.0, now
         takes(controller, 3.0, now)  # room for spill
         sent = sent_to(controller.handle(now, demand(call, dest=1)))
         delay = 200.0 if sent[0] == 2 else 1.0
@@ -50,10 +50,10 @@
     wait(controller, 400.0, 3100.0)
     for call in (1, 2):
         controller.handle(3100.0, api.Ended(call, 0, 1, api.Status.TIMEOUT, True, 3000.0))
-    controller.node.fleet.servers[1].wait.put(3200.0, 0.0)
+    controller.node.fleet.servers[1].queue_delay.set(3200.0, 0.0)
     assert sent_to(controller.handle(3200.0, demand(4))) == []  # still nothing heard
     wait(controller, 3200.0, 5400.0)
-    controller.node.fleet.servers[1].level = controller.node.fleet.servers[1].depth = 0
+    controller.node.fleet.servers[1].level = controller.node.fleet.servers[1].gapped_ranks = 0
     assert sent_to(controller.handle(5400.0, demand(5))) == [1]  # one trial
     assert sent_to(controller.handle(5401.0, demand(6))) == []
     controller.handle(5420.0, api.Answered(5, 0, 1, 20.0))
@@ -73,10 +73,10 @@
         assert sent_to(controller.handle(sent, demand(call))) == [1]
         actions += controller.handle(sent + 20.0, api.Answered(call, 0, 1, 20.0))
     assert [one for one in actions if isinstance(one, api.Cancel)] == [api.Cancel(1, 0)]
-    assert core.delay(controller.node.clock.awake) <= 20.0
+    assert core.delay_per_set_up(controller.node.clock.awake) <= 20.0
     controller.handle(430.0, api.Ended(1, 0, 1, api.Status.TIMEOUT, False, 330.0))
     assert core.level == 0
-    assert core.lost < core.heard
+    assert core.timed_out_at < core.last_answer_at
     assert sent_to(controller.handle(440.0, demand(9))) == [1]
 
 
@@ -171,7 +171,7 @@
     for call in range(100, 120):
         assert sent_to(controller.handle(300.0, demand(call, kind=1))) == [1]
         controller.handle(301.0, api.Answered(call, 0, 1, 1.0))
-    assert controller.node.fleet.servers[1].faults < 0.1
+    assert controller.node.fleet.servers[1].error_share < 0.1
 
 
 def test_further_attempts_of_all_nodes_together_do_not_jam_a_small_server() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -60,7 +60,7 @@
     for call in range(3):
         # no server: refused, and y's share is used
         controller.handle(0.0, api.CallRequest(call, 1, 1, 3000.0, 1, number_key=77))
-    assert controller.callers.shares[1].level < 1.0 and (77, 1, 1) in controller.callers.turned_away
+    assert controller.callers.share_buckets[1].level < 1.0 and (77, 1, 1) in controller.callers.turned_away
     second = version(A, Tenants=offices[:1], OverShareWorth=0.1).following(first)
     third = version(A, C, Tenants=[offices[0], offices[1] | {"Name": "z"}], OverShareWorth=0.1).following(second)
     assert (third.class_ids["c"], third.tenant_ids["z"]) == (1, 1)
