--- a/seamlb/api.py
+++ b/seamlb/api.py
@@ -1,6 +1,6 @@
-"""Settings, events and actions of the decision module: the types only, no decision.
+"""Settings, events and actions of the decision module: types only, no decisions.
 
-Times are milliseconds. Identifiers are opaque integers.
+Times are in milliseconds. Identifiers are opaque integers.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
     NOT_RUN = 7
 
 
-NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.NOT_RUN})  # proof that the attempt did nothing
-DELAYS_RETRY = frozenset({Status.TIMEOUT, Status.RESET, Status.CANCELLED})  # rule 5: lines may stay taken for a while
+NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.NOT_RUN})  # the attempt had no effect
+DELAYS_RETRY = frozenset({Status.TIMEOUT, Status.RESET, Status.CANCELLED})  # rule 5: lines may stay busy for a while
 
 
 class Availability(IntEnum):
-    """What the list says of a core server."""
+    """State of a server according to the server list."""
 
     GONE = 0
     READY = 1
@@ -41,7 +41,7 @@
 
 
 class Scope(IntEnum):
-    """What a list change carries."""
+    """What a list change contains: all servers, nothing, only the changed servers, or a cached full list."""
 
     FULL = 0
     FAILED = 1
@@ -57,126 +57,126 @@
     """One class of call."""
 
     name: str
-    on_time: float
-    deadline: float
+    on_time: float  # ms, target of the set-up time
+    deadline: float  # ms, longest that a caller waits
     worth: float
-    late_worth: float  # the part of the worth that a set-up after `on_time` still has
-    effect: str
-    group: str
-    window: float
-    width: float
-    pools: frozenset[int] | None
+    late_worth: float  # fraction of the worth that a set-up later than `on_time` still has
+    effect: str  # whether an attempt that may have run may be repeated: free, guarded, single_shot
+    group: str  # where a guarded attempt may be repeated: all, zone, cell
+    window: float  # ms after the first attempt in which it may be repeated
+    width: float  # lines per call
+    pools: frozenset[int] | None  # cells that may take the class; None: all
 
 
 @dataclass(slots=True, frozen=True)
 class Contract:
-    """The figures of the five rules."""
+    """Parameters of the five rules of the platform."""
 
-    answer_slack: float
-    drain_grace: float
-    cold: float
-    fall: float
-    fall_multiple: float
-    start_capacity: float
-    ask_within: float
-    clear_wait: float
+    answer_slack: float  # ms after the deadline in which a final answer still counts
+    drain_grace: float  # ms
+    cold: float  # ms that a server takes to warm up
+    fall: float  # ms, window in which set-ups to a cold server are counted
+    fall_multiple: float  # of its current capacity, above which a cold server fails
+    start_capacity: float  # fraction of the full capacity at a cold start
+    ask_within: float  # ms
+    clear_wait: float  # ms to wait before a retry, see DELAYS_RETRY
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the site permits."""
+    """Limits set by the site."""
 
-    attempts_cap: int
+    attempts_cap: int  # attempts per call
     cancel: bool
     peers: bool
     probing: bool
     retry_after: bool
-    max_retry_after: float
+    max_retry_after: float  # ms
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that an instance is told at its start, or a later version of it; another follows it, it never changes."""
+    """The settings of an instance; immutable, a reload creates another version with `following`."""
 
-    me: int
+    me: int  # number of this instance
     instances: int
     zone: int
     classes: tuple[CallClass, ...]
-    allowances: tuple[float, ...]
-    over_share_worth: float
+    allowances: tuple[float, ...]  # calls per s of the whole fleet, by tenant
+    over_share_worth: float  # fraction of the worth that a call beyond its tenant's allowance has
     contract: Contract
     limits: Limits
-    on_request: bool
+    on_request: bool  # whether list changes have to be subscribed to
     network: bool
     self_number: int
-    retransmit_after: float
-    fields: tuple[str, ...]
+    retransmit_after: float  # ms after which an unanswered set-up is repeated; 0: never
+    fields: tuple[str, ...]  # names of the values in a load report, in order
     report_source: str
-    # Numbers of the classes and tenants that requests may name. Others were dropped; what is open keeps them.
+    # Ids by name, of the classes and tenants that requests may name; open calls may still have ids of removed ones.
     class_ids: Mapping[str, int] = field(default_factory=dict)
     tenant_ids: Mapping[str, int] = field(default_factory=dict)
-    tenant_names: tuple[str, ...] = ()  # by number, also of those that were dropped
+    tenant_names: tuple[str, ...] = ()  # by id, including removed tenants
 
     @property
     def longest_deadline(self) -> float:
-        """The longest that a caller waits."""
-        return max(kind.deadline for kind in self.classes)
+        """The longest time in ms that a caller of any class waits."""
+        return max(call_class.deadline for call_class in self.classes)
 
     def following(
-        self, old: Settings, open_classes: Collection[int] = (), open_tenants: Collection[int] = ()
+        self, old: Settings, classes_in_use: Collection[int] = (), tenants_in_use: Collection[int] = ()
     ) -> Settings:
-        """This version as the one that follows `old`: who has a number there keeps it.
+        """Return these settings as the version after `old`, in which classes and tenants keep their ids.
 
-        A number that was dropped is given again once no open call has it and a version has passed without it, so that
-        the tables don't grow with each reload. What is `RESTART_ONLY` stays as it was at the start.
+        The id of a removed class or tenant is reused once no open call has it and one version went without it, so
+        that the tables don't grow with each reload. Fields in `RESTART_ONLY` keep their value from the start.
         """
-        kinds = _numbered(len(old.classes), old.class_ids, self.class_ids, open_classes)
-        tenants = _numbered(len(old.allowances), old.tenant_ids, self.tenant_ids, open_tenants)
+        class_ids = _assign_ids(len(old.classes), old.class_ids, self.class_ids, classes_in_use)
+        tenant_ids = _assign_ids(len(old.allowances), old.tenant_ids, self.tenant_ids, tenants_in_use)
         return replace(
             self,
-            class_ids=kinds,
-            tenant_ids=tenants,
-            classes=_placed(old.classes, self.classes, self.class_ids, kinds),
-            allowances=_placed(old.allowances, self.allowances, self.tenant_ids, tenants),
-            tenant_names=_placed(old.tenant_names, self.tenant_names, self.tenant_ids, tenants),
+            class_ids=class_ids,
+            tenant_ids=tenant_ids,
+            classes=_ordered_by_id(old.classes, self.classes, self.class_ids, class_ids),
+            allowances=_ordered_by_id(old.allowances, self.allowances, self.tenant_ids, tenant_ids),
+            tenant_names=_ordered_by_id(old.tenant_names, self.tenant_names, self.tenant_ids, tenant_ids),
             **{name: getattr(old, name) for name in RESTART_ONLY},
         )
 
     def reassigned_ids(self, old: Settings) -> tuple[set[int], set[int]]:
-        """Numbers of classes and of tenants that stand for another name here than in `old`."""
-        classes = zip((one.name for one in old.classes), (one.name for one in self.classes), strict=False)
+        """Return the ids of classes and of tenants that mean another name here than in `old`."""
+        classes = zip((entry.name for entry in old.classes), (entry.name for entry in self.classes), strict=False)
         tenants = zip(old.tenant_names, self.tenant_names, strict=False)
-        return _changed(classes), _changed(tenants)
+        return _changed_ids(classes), _changed_ids(tenants)
 
     def restart_only_changes(self, old: Settings) -> list[str]:
-        """What differs and is for a start only."""
+        """Return the names of fields that differ but take effect only after a restart."""
         return [name for name in RESTART_ONLY if getattr(self, name) != getattr(old, name)]
 
     @classmethod
     def from_mapping(cls, raw: Mapping[str, Any]) -> Settings:
-        """Read decoded settings; unknown keys are skipped, impossible values raise ValueError."""
-        extra = _part(raw, "Extra")
-        limits = _part(raw, "Limits")
-        rules = _part(raw, "Contract", needed=True)
-        listed = raw.get("Classes")
-        if not isinstance(listed, list) or not listed:
+        """Build settings from decoded JSON; unknown keys are ignored, invalid values raise ValueError."""
+        extra = _section(raw, "Extra")
+        limits = _section(raw, "Limits")
+        rules = _section(raw, "Contract", required=True)
+        raw_classes = raw.get("Classes")
+        if not isinstance(raw_classes, list) or not raw_classes:
             raise ValueError("Classes: at least one class is needed")
         pools = extra.get("SkilledPools") or []
         widths = extra.get("Widths") or []
         classes = tuple(
             CallClass(
-                name=str(one.get("Name", "")),
-                on_time=_number(one, "OnTime", where=f"Classes[{place}].", above=True),
-                deadline=_number(one, "Deadline", where=f"Classes[{place}].", above=True),
-                worth=_number(one, "Worth", 1.0, where=f"Classes[{place}]."),
-                late_worth=_number(one, "LateWorth", 1.0, where=f"Classes[{place}]."),
-                effect=_choice(one, "Effect", ("free", "guarded", "single_shot"), f"Classes[{place}]."),
-                group=_choice(one, "Group", ("all", "zone", "cell"), f"Classes[{place}]."),
-                window=_number(one, "Window", 0.0, where=f"Classes[{place}]."),
-                width=float(widths[place]) if place < len(widths) else 1.0,
-                pools=frozenset(pools[place]) if place < len(pools) else None,
+                name=str(item.get("Name", "")),
+                on_time=_number(item, "OnTime", where=f"Classes[{index}].", positive=True),
+                deadline=_number(item, "Deadline", where=f"Classes[{index}].", positive=True),
+                worth=_number(item, "Worth", 1.0, where=f"Classes[{index}]."),
+                late_worth=_number(item, "LateWorth", 1.0, where=f"Classes[{index}]."),
+                effect=_choice(item, "Effect", ("free", "guarded", "single_shot"), f"Classes[{index}]."),
+                group=_choice(item, "Group", ("all", "zone", "cell"), f"Classes[{index}]."),
+                window=_number(item, "Window", 0.0, where=f"Classes[{index}]."),
+                width=float(widths[index]) if index < len(widths) else 1.0,
+                pools=frozenset(pools[index]) if index < len(pools) else None,
             )
-            for place, one in enumerate(listed)
+            for index, item in enumerate(raw_classes)
         )
         on_request = raw.get("MembershipMode") == "on_request"
         contract = Contract(
@@ -190,19 +190,19 @@
             clear_wait=_number(extra, "ClearWait", where="Extra."),
         )
         tenants = raw.get("Tenants") or []
-        report = _part(raw, "Report")
+        report = _section(raw, "Report")
         return cls(
             me=int(_number(raw, "Me", 0)),
-            instances=int(_number(raw, "Instances", above=True)),
+            instances=int(_number(raw, "Instances", positive=True)),
             zone=int(_number(raw, "Az", 0)),
             classes=classes,
             allowances=tuple(
-                _number(one, "AllowancePerS", 0.0, where=f"Tenants[{place}].") for place, one in enumerate(tenants)
+                _number(item, "AllowancePerS", 0.0, where=f"Tenants[{index}].") for index, item in enumerate(tenants)
             ),
             over_share_worth=_number(raw, "OverShareWorth", 1.0),
             contract=contract,
             limits=Limits(
-                attempts_cap=int(_number(limits, "AttemptsCap", where="Limits.", above=True)),
+                attempts_cap=int(_number(limits, "AttemptsCap", where="Limits.", positive=True)),
                 cancel=bool(limits.get("Cancel")),
                 peers=bool(limits.get("Peers")),
                 probing=bool(limits.get("Probing")),
@@ -215,35 +215,35 @@
             retransmit_after=_number(extra, "Repeat", 0.0, where="Extra."),
             fields=tuple(report.get("Fields") or ()),
             report_source=str(report.get("Source", "none")),
-            class_ids={kind.name: place for place, kind in enumerate(classes)},
-            tenant_ids={str(one.get("Name", "")): place for place, one in enumerate(tenants)},
-            tenant_names=tuple(str(one.get("Name", "")) for one in tenants),
+            class_ids={call_class.name: index for index, call_class in enumerate(classes)},
+            tenant_ids={str(item.get("Name", "")): index for index, item in enumerate(tenants)},
+            tenant_names=tuple(str(item.get("Name", "")) for item in tenants),
         )
 
 
-def _numbered(size: int, had: Mapping[str, int], named: Iterable[str], in_use: Collection[int]) -> dict[str, int]:
-    """A version's numbers by name: the name's own, else one that is free among `size`, else a further one."""
-    taken = {*had.values(), *in_use}
+def _assign_ids(size: int, old: Mapping[str, int], names: Iterable[str], in_use: Collection[int]) -> dict[str, int]:
+    """Return ids by name: the name's old id, else a free one below `size`, else the next one from `size` on."""
+    taken = {*old.values(), *in_use}
     free = [number for number in range(size) if number not in taken]
-    further = itertools.count(size)
-    return {name: had[name] if name in had else free.pop(0) if free else next(further) for name in named}
+    new_ids = itertools.count(size)
+    return {name: old[name] if name in old else free.pop(0) if free else next(new_ids) for name in names}
 
 
-def _changed(names: Iterable[tuple[str, str]]) -> set[int]:
-    return {number for number, (then, now) in enumerate(names) if then != now}
+def _changed_ids(names: Iterable[tuple[str, str]]) -> set[int]:
+    return {number for number, (old, new) in enumerate(names) if old != new}
 
 
-def _placed(
-    old: tuple[T, ...], new: tuple[T, ...], places: Mapping[str, int], numbers: Mapping[str, int]
+def _ordered_by_id(
+    old: tuple[T, ...], new: tuple[T, ...], indexes: Mapping[str, int], ids: Mapping[str, int]
 ) -> tuple[T, ...]:
-    """The old table with a version's entries at their numbers."""
-    table = dict(enumerate(old)) | {numbers[name]: new[place] for name, place in places.items()}
+    """Return the old table with the entries of `new` at their ids; `indexes` and `ids` are by name."""
+    table = dict(enumerate(old)) | {ids[name]: new[index] for name, index in indexes.items()}
     return tuple(table[number] for number in range(len(table)))
 
 
-def _part(raw: Mapping[str, Any], key: str, needed: bool = False) -> Mapping[str, Any]:
+def _section(raw: Mapping[str, Any], key: str, required: bool = False) -> Mapping[str, Any]:
     value = raw.get(key)
-    if value is None and not needed:
+    if value is None and not required:
         return {}
     if not isinstance(value, Mapping):
         raise ValueError(f"{key}: missing" if value is None else f"{key}: not an object")
@@ -251,14 +251,14 @@
 
 
 def _number(
-    raw: Mapping[str, Any], key: str, default: float | None = None, *, where: str = "", above: bool = False
+    raw: Mapping[str, Any], key: str, default: float | None = None, *, where: str = "", positive: bool = False
 ) -> float:
     value = raw.get(key, default)
     if value is None:
         raise ValueError(f"{where}{key}: missing")
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise ValueError(f"{where}{key}: not a number: {value!r}")
-    if not 0 <= value < float("inf") or (above and value == 0):
+    if not 0 <= value < float("inf") or (positive and value == 0):
         raise ValueError(f"{where}{key}: impossible value {value!r}")
     return float(value)
 
@@ -275,18 +275,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ListEntry:
-    """A core server as the list describes it."""
+    """A server in the server list."""
 
     server: int
     zone: int
     cell: int
     availability: int
-    since: float
+    since: float  # start time; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class ListChange:
-    """News of the core servers; ``FAILED`` carries no entries."""
+    """A change of the server list; with ``FAILED`` there are no entries."""
 
     scope: int
     entries: tuple[ListEntry, ...]
@@ -294,63 +294,63 @@
 
 @dataclass(slots=True, frozen=True)
 class CallRequest:
-    """A call wants to be set up; it needs one final answer within ``grace``."""
+    """A request to set up a call, which needs one final answer within ``time_left`` ms."""
 
     call: int
     call_class: int
     tenant: int
     time_left: float
     destination: int
-    slots: float = 1.0
+    slots: float = 1.0  # lines that the call takes; 0: the width of its class
     hint: float = 0.0
     redialled: bool = False
     in_transit: bool = False
     cut_before: bool = False
     via: int = -1
-    number_key: int = 0  # the number called; 0 tells nothing
+    number_key: int = 0  # hash of the number called; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class Answered:
-    """An attempt was answered: the call stands until its ``Ended``."""
+    """An attempt was answered: the call is established until its ``Ended``."""
 
     call: int
     leg: int
     server: int
-    delay: float
+    delay: float  # ms since the attempt was sent
 
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """An attempt is over; ``final`` says that its call is over too."""
+    """An attempt has ended; if ``final``, its call has ended too."""
 
     call: int
     leg: int
     server: int
     status: int
     final: bool
-    delay: float
-    note: int = 0
+    delay: float  # ms since the attempt was sent
+    note: int = 0  # diagnosis code, more specific than the status
     report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class HungUp:
-    """The caller left; no answer is owed."""
+    """The caller hung up; the call needs no final answer."""
 
     call: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that was asked for has come due."""
+    """A timer set by ``SetTimer`` has fired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ServerReport:
-    """A probe's answer, or unasked news of free circuits (``delay`` 0)."""
+    """A probe's answer, or an unsolicited report of free circuits (``delay`` 0)."""
 
     server: int
     status: int
@@ -368,7 +368,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NewSettings:
-    """The settings are these from now on; calls that are known keep their class as it was."""
+    """New settings to use from now on; open calls keep the class settings that they came with."""
 
     settings: Settings
 
@@ -380,7 +380,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendSetUp:
-    """Send a set-up; ``within`` is the attempt's time-out."""
+    """Start an attempt at a server; ``within`` is its time-out in ms."""
 
     call: int
     server: int
@@ -389,7 +389,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: refused; ``backoff`` tells the caller when to return (0: no advice)."""
+    """Final answer: refused; ``backoff`` in ms advises the caller when to retry (0: no advice)."""
 
     call: int
     backoff: float
@@ -404,7 +404,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Call an attempt off."""
+    """Cancel an attempt."""
 
     call: int
     leg: int
@@ -412,7 +412,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a ``TimerFired`` at a clock time."""
+    """Request a ``TimerFired`` at a clock time."""
 
     token: int
     at: float
@@ -420,14 +420,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Probe a core server."""
+    """Probe a server."""
 
     server: int
 
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
-    """Send a message to one access node, or to all (``target`` None)."""
+    """Send a message to one access node, or to all if ``target`` is None."""
 
     target: int | None
     payload: bytes
@@ -435,14 +435,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """Write a line for the operators."""
+    """Write a log line."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close idle connections to a core server."""
+    """Close idle connections to a server."""
 
     server: int
 
@@ -456,7 +456,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    """Ask for the full list once."""
+    """Request the full list once."""
 
 
 Action = SendSetUp | Refuse | Fail | Cancel | SetTimer | Probe | SendMessage | Log | CloseIdle | Subscribe | FetchList
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -28,7 +28,7 @@
     second = version(C, B | {"Worth": 7.0}).following(first)
     assert second.class_ids == {"c": 2, "b": 1} and [one.name for one in second.classes] == ["a", "b", "c"]
     assert second.classes[1].worth == 7.0 and second.classes[0] == first.classes[0]
-    third = version(A, B, C).following(second, open_classes={0})
+    third = version(A, B, C).following(second, classes_in_use={0})
     assert third.class_ids == {"a": 3, "b": 1, "c": 2}, "an open call has the number still"
     assert version(A, B, C).following(second).class_ids == {"a": 0, "b": 1, "c": 2}
     offices = [{"Name": "x", "AllowancePerS": 1.0}, {"Name": "y", "AllowancePerS": 2.0}]
