--- a/seamlb/api.py
+++ b/seamlb/api.py
@@ -144,7 +144,7 @@
 
     def reassigned_ids(self, old: Settings) -> tuple[set[int], set[int]]:
         """Return the ids of classes and of tenants that mean another name here than in `old`."""
-        classes = zip((entry.name for entry in old.classes), (entry.name for entry in self.classes), strict=False)
+        classes = zip((kind.name for kind in old.classes), (kind.name for kind in self.classes), strict=False)
         tenants = zip(old.tenant_names, self.tenant_names, strict=False)
         return _changed_ids(classes), _changed_ids(tenants)
 
@@ -263,9 +263,9 @@
     return float(value)
 
 
-def _choice(raw: Mapping[str, Any], key: str, known: tuple[str, ...], where: str) -> str:
-    value = raw.get(key, known[0])
-    if value not in known:
+def _choice(raw: Mapping[str, Any], key: str, choices: tuple[str, ...], where: str) -> str:
+    value = raw.get(key, choices[0])
+    if value not in choices:
         raise ValueError(f"{where}{key}: unknown value {value!r}")
     return str(value)
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Settings and helpers shared by the tests; the figures are the tests' own."""
+"""Settings and helpers shared by the tests. The values are made up for the tests."""
 
 from typing import Any
 
@@ -35,33 +35,35 @@
     "Report": {"Fields": ["idle", "circuits", "avg_ms"], "Source": "answers"},
 }
 
-# Aims so far off that the module takes no answer that a busy machine keeps back for a jam.
+# Set-up time targets so long that an answer delayed by a busy test machine is not taken as overload.
 LONG_TARGETS: dict[str, Any] = {
-    "Classes": [kind | {"OnTime": 8000.0} for kind in RAW["Classes"]],
+    "Classes": [raw_class | {"OnTime": 8000.0} for raw_class in RAW["Classes"]],
     "Extra": RAW["Extra"] | {"Repeat": 0.0},
 }
 
 
-def settings(**change: Any) -> api.Settings:
-    """Settings with top-level parts replaced, or merged where both are objects."""
+def settings(**changes: Any) -> api.Settings:
+    """Settings with top-level keys replaced, or merged where both values are objects."""
     raw = dict(RAW)
-    for key, value in change.items():
+    for key, value in changes.items():
         raw[key] = raw[key] | value if isinstance(value, dict) and isinstance(raw.get(key), dict) else value
     return api.Settings.from_mapping(raw)
 
 
 def entry(server: int, state: int = 1, since: float = 0.0, zone: int = 0) -> api.ListEntry:
-    """A list entry whose pool number is its server number."""
+    """A list entry whose cell has the number of the server."""
     return api.ListEntry(server, zone, server, state, since)
 
 
-def listed(controller: Controller, now: float, *servers: int) -> None:
-    """Give the controller its first list, all servers warm."""
+def give_list(controller: Controller, now: float, *servers: int) -> None:
+    """Give the controller its first list; servers of the first list are warm."""
     controller.handle(now, api.ListChange(api.Scope.CACHED, tuple(entry(s) for s in servers)))
 
 
-def demand(call: int, kind: int = 0, dest: int = 1, grace: float = 3000.0, tenant: int = 0) -> api.CallRequest:
-    return api.CallRequest(call, kind, tenant, grace, dest)
+def call_request(
+    call: int, call_class: int = 0, dest: int = 1, time_left: float = 3000.0, tenant: int = 0
+) -> api.CallRequest:
+    return api.CallRequest(call, call_class, tenant, time_left, dest)
 
 
 def ended(call: int, server: int, status: int, leg: int = 0, delay: float = 10.0) -> api.Ended:
@@ -72,8 +74,11 @@
     return [action.server for action in actions if isinstance(action, api.SendSetUp)]
 
 
-def cold_allowance(made: api.Settings, capacity: float, age: float) -> float:
-    """Rule 4's N: what a server of `capacity` set-ups a ms once warm may get in a window `age` ms after its start."""
-    rules = made.contract
+def cold_allowance(with_settings: api.Settings, capacity: float, age: float) -> float:
+    """Rule 4's N: set-ups that a server may get in a window, `age` ms after its start.
+
+    `capacity`: set-ups per ms of the warm server.
+    """
+    rules = with_settings.contract
     ramp = min(1.0, rules.start_capacity + (1.0 - rules.start_capacity) * max(age, 0.0) / rules.cold)
     return rules.fall_multiple * ramp * capacity * rules.fall
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: frames in and out, and what bad input gets."""
+"""The adapter to the simulator: batches in and out, and the handling of malformed input."""
 
 import io
 import json
@@ -10,10 +10,10 @@
 from seamlb.drill import Host, encode
 from tests.support import RAW
 
-BEGIN_BODY = json.dumps(RAW | {"Unheard": 1}).encode()
+BEGIN_BODY = json.dumps(RAW | {"UnknownKey": 1}).encode()
 
 
-def frame(*records: bytes, now: float = 1000.0, number: int = 7) -> bytes:
+def batch(*records: bytes, now: float = 1000.0, number: int = 7) -> bytes:
     body = b"".join(records)
     return struct.pack("<dIII", now, 20 + len(body), len(records), number) + body
 
@@ -35,13 +35,13 @@
     return Host().serve(io.BytesIO(data), sink), sink.getvalue()
 
 
-def test_empty_batch_and_clean_end() -> None:
-    code, reply = serve(frame())
+def test_an_empty_batch_is_answered_and_the_end_of_input_is_no_error() -> None:
+    code, reply = serve(batch())
     assert code == 0
     assert reply == struct.pack("<III", 0, 12, 7)
 
 
-def test_the_documented_demand_record_decodes() -> None:
+def test_the_documented_demand_record_is_decoded() -> None:
     record = bytes.fromhex(
         "03000300c4913a5dcfe401000000000000002840640ad2557c3bf09100000100000080430000000000006e400000964400006442"
     )
@@ -49,73 +49,78 @@
     host = Host()
     seen: list[api.Event] = []
 
-    class Spy:
+    class RecordingController:
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
             seen.append(event)
             return []
 
-    host.controllers[3] = Spy()  # type: ignore[assignment]
-    assert host.serve(io.BytesIO(frame(record)), io.BytesIO()) == 0
+    host.controllers[3] = RecordingController()  # type: ignore[assignment]
+    assert host.serve(io.BytesIO(batch(record)), io.BytesIO()) == 0
     (event,) = seen
     assert isinstance(event, api.CallRequest)
     assert (event.time_left, event.destination, event.slots, event.hint) == (240.0, 57, 1200.0, 12.0)
 
 
 def test_a_call_is_sent_and_unknown_settings_are_skipped() -> None:
-    code, reply = serve(frame(begin(), pool(), LIST, DEMAND))
+    code, reply = serve(batch(begin(), pool(), LIST, DEMAND))
     assert code == 0
     count, size, number = struct.unpack_from("<III", reply)
     assert (size, number) == (len(reply), 7)
     assert count >= 1
-    assert struct.unpack_from("<HHQI", reply, 12 + 20) == (65, 3, 42, 500)  # after the beat's WAKE_AT
+    assert struct.unpack_from("<HHQI", reply, 12 + 20) == (
+        65,
+        3,
+        42,
+        500,
+    )  # after the SetTimer record of the stall timer
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
-        (frame()[:9], "malformed batch header at byte 0"),
-        (frame(DEMAND)[:-4], "malformed batch at byte"),
-        (frame(struct.pack("<H", 99)), "malformed code 99 at byte 20: unknown code"),
-        (frame(DEMAND[:10]), "malformed DEMAND at byte 20: record is truncated"),
-        (frame(DEMAND), "malformed DEMAND at byte 20: unknown instance 3, no BEGIN received"),
-        (frame(begin(), LIST), "malformed BACKENDS_CHANGED"),
-        (frame(begin(b"{")), "malformed BEGIN at byte 20"),
+        (batch()[:9], "malformed batch header at byte 0"),
+        (batch(DEMAND)[:-4], "malformed batch at byte"),
+        (batch(struct.pack("<H", 99)), "malformed code 99 at byte 20: unknown code"),
+        (batch(DEMAND[:10]), "malformed DEMAND at byte 20: record is truncated"),
+        (batch(DEMAND), "malformed DEMAND at byte 20: unknown instance 3, no BEGIN received"),
+        (batch(begin(), LIST), "malformed BACKENDS_CHANGED"),
+        (batch(begin(b"{")), "malformed BEGIN at byte 20"),
         (struct.pack("<dIII", 0.0, 20, 1, 1), "malformed record at byte 20: record is truncated"),
     ],
 )
 def test_malformed_input_names_record_and_position(
-    data: bytes, says: str, capsys: pytest.CaptureFixture[str]
+    data: bytes, message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     code, _ = serve(data)
     err = capsys.readouterr().err
     assert code != 0
-    assert says in err
+    assert message in err
     assert err.count("\n") == 1
 
 
-def test_a_missing_rule_setting_is_named(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_error_names_a_missing_setting(capsys: pytest.CaptureFixture[str]) -> None:
     raw = json.loads(BEGIN_BODY)
     del raw["Contract"]["Fall"]
-    code, _ = serve(frame(begin(json.dumps(raw).encode())))
+    code, _ = serve(batch(begin(json.dumps(raw).encode())))
     assert code != 0
     assert "Contract.Fall: missing" in capsys.readouterr().err
 
 
-def test_an_exception_in_the_module_is_declared(capsys: pytest.CaptureFixture[str]) -> None:
-    class FrameError:
+def test_an_exception_in_the_controller_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
+    class FailingController:
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
             raise RuntimeError("it broke")
 
     host = Host()
-    host.controllers[3] = FrameError()  # type: ignore[assignment]
+    host.controllers[3] = FailingController()  # type: ignore[assignment]
     sink = io.BytesIO()
-    assert host.serve(io.BytesIO(frame(DEMAND)), sink) == 0
+    assert host.serve(io.BytesIO(batch(DEMAND)), sink) == 0
     assert struct.unpack_from("<HH", sink.getvalue(), 12) == (74, 3)
     assert b"it broke" in sink.getvalue()
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_every_action_has_its_record() -> None:
+def test_every_action_has_a_record_code() -> None:
     expected = {
         api.SendSetUp(1, 2, 3.0): 65,
         api.Refuse(1, 2.0): 66,
@@ -142,6 +147,6 @@
         ({"Classes": [{"OnTime": -5.0, "Deadline": 9.0}]}, r"Classes\[0\].OnTime"),
     ],
 )
-def test_impossible_settings_raise(change: dict[str, object], field: str) -> None:
+def test_invalid_settings_raise(change: dict[str, object], field: str) -> None:
     with pytest.raises(ValueError, match=field):
         api.Settings.from_mapping(RAW | change)
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Rule 4 for the fleet: what all processes together send a cold server in a window stays below where it falls."""
+"""Rule 4 for the fleet: all processes together send a cold server less in a window than makes it fail."""
 
 import math
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 from seamlb.policy.cold_start import OVERLOAD_PROBABILITY, cold_budget
 from tests.cold_fleet import Case, ColdFleet
 
-FALLS = 2.0  # roots of N, above N + 2
+OVERLOAD = 2.0  # excess over N + 2 at which the server fails, in units of sqrt(N)
 SEEDS = range(6)
 DEMANDS: dict[str, Callable[[float], float]] = {
-    "as much as it bears once warm": lambda now: 1.0,
-    "three times that": lambda now: 3.0,
-    "nearly all of the fleet's": lambda now: 7.0,
-    "little, then three times that": lambda now: 0.3 if now < 4000.0 else 3.0,
-    "as much, then four times that": lambda now: 1.0 if now < 4000.0 else 4.0,
+    "capacity of the warm server": lambda now: 1.0,
+    "three times the capacity": lambda now: 3.0,
+    "nearly the capacity of the fleet": lambda now: 7.0,
+    "little, then three times the capacity": lambda now: 0.3 if now < 4000.0 else 3.0,
+    "the capacity, then four times that": lambda now: 1.0 if now < 4000.0 else 4.0,
 }
 
 
@@ -32,34 +32,38 @@
 @pytest.mark.parametrize("demand", DEMANDS.values(), ids=DEMANDS.keys())
 @pytest.mark.parametrize("capacity", [5.0, 30.0])
 @pytest.mark.parametrize("nodes", [5, 20, 30, 200])
-def test_a_cold_server_does_not_fall_under_the_sum_of_all(
+def test_all_nodes_together_do_not_overload_a_cold_server(
     nodes: int, capacity: float, demand: Callable[[float], float]
 ) -> None:
     for case in cases(nodes, capacity, demand):
         for seed in SEEDS:
-            assert ColdFleet(case, seed).play().overrun() <= FALLS, (case, seed)
+            assert ColdFleet(case, seed).run().worst_excess() <= OVERLOAD, (case, seed)
 
 
 @pytest.mark.parametrize("nodes", [5, 20, 30, 200])
-def test_a_budget_that_is_too_large_is_caught(nodes: int) -> None:
-    # All of N and a third more, with three calls saved up: what the test above must not let through.
+def test_the_simulation_detects_a_budget_that_is_too_large(nodes: int) -> None:
+    # A third more than N and a burst of three tokens per node: the test above must fail on this.
     with mock.patch.object(routing, "cold_budget", lambda allowed, nodes: (4.0 / 3.0, 3.0)):
-        plays = [
-            ColdFleet(case, seed).play().overrun()
-            for case in cases(nodes, 30.0, DEMANDS["nearly all of the fleet's"])
+        excesses = [
+            ColdFleet(case, seed).run().worst_excess()
+            for case in cases(nodes, 30.0, DEMANDS["nearly the capacity of the fleet"])
             for seed in range(2)
         ]
-    assert max(plays) > FALLS
+    assert max(excesses) > OVERLOAD
 
 
 @pytest.mark.parametrize("nodes", [1, 5, 20, 30, 200, 1000])
 @pytest.mark.parametrize("allowed", [0.5, 2.0, 10.0, 50.0, 400.0])
-def test_few_nodes_keep_below_the_fall_whatever_comes_and_many_use_less(allowed: float, nodes: int) -> None:
-    used, saved = cold_budget(allowed, nodes)
+def test_the_budget_keeps_few_nodes_below_the_overload_limit_and_many_nodes_further_below(
+    allowed: float, nodes: int
+) -> None:
+    used, burst = cold_budget(allowed, nodes)
     assert 0.0 < used < 1.0
-    if saved > 1.0:  # what all have saved up, and what all get in the window
-        assert nodes * saved + used * allowed <= allowed + 2.0 * allowed**0.5 + 2.0 + 1e-9
-    # Sends of many nodes, of which each sends seldom, are Poisson at most.
-    mean, falls = used * allowed, allowed + 2.0 * allowed**0.5 + 2.0
-    below = sum(math.exp(count * math.log(mean) - mean - math.lgamma(count + 1)) for count in range(int(falls) + 1))
+    if burst > 1.0:  # the bursts of all nodes, and their rate during the window
+        assert nodes * burst + used * allowed <= allowed + 2.0 * allowed**0.5 + 2.0 + 1e-9
+    # The sends of many nodes that each send rarely vary no more than a Poisson process.
+    mean, overload = used * allowed, allowed + 2.0 * allowed**0.5 + 2.0
+    below = sum(
+        math.exp(count * math.log(mean) - mean - math.lgamma(count + 1)) for count in range(int(overload) + 1)
+    )
     assert 1.0 - below <= OVERLOAD_PROBABILITY
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules under odd but legal orders of events."""
+"""The five rules under unusual but valid orders of events."""
 
 import math
 from dataclasses import dataclass, field
@@ -10,24 +10,24 @@
 from seamlb import api
 from seamlb.api import Availability, Scope, Status
 from seamlb.policy.controller import Controller
-from tests.support import demand, ended, entry
+from tests.support import call_request, ended, entry
 from tests.support import settings as make_settings
 
 UNPROVEN = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 
 
 @dataclass
-class World:
-    """Plays the far side by the wire's rules and checks every action as it comes."""
+class Environment:
+    """Simulates callers and servers by the rules of the protocol and checks each action at once."""
 
     controller: Controller
-    made: api.Settings
+    settings: api.Settings
     now: float = 1000.0
     next_call: int = 1
-    open: dict[int, float] = field(default_factory=dict)  # call: its deadline
-    kinds: dict[int, tuple[api.CallClass, int]] = field(default_factory=dict)  # its class and attempts, as it came
+    open: dict[int, float] = field(default_factory=dict)  # deadline by call
+    classes: dict[int, tuple[api.CallClass, int]] = field(default_factory=dict)  # class and attempts when it came
     closed: set[int] = field(default_factory=set)
-    out: dict[int, tuple[int, int, float]] = field(default_factory=dict)  # call: server, leg, timed out at
+    attempts: dict[int, tuple[int, int, float]] = field(default_factory=dict)  # server, leg and time-out by call
     legs: dict[int, int] = field(default_factory=dict)
     barred: dict[int, float] = field(default_factory=dict)
     ran: dict[int, tuple[int, float]] = field(default_factory=dict)
@@ -35,87 +35,89 @@
     timers: list[tuple[float, int]] = field(default_factory=list)
     lists: dict[int, api.ListEntry] = field(default_factory=dict)
 
-    def give(self, event: api.Event) -> None:
+    def send(self, event: api.Event) -> None:
         for action in self.controller.handle(self.now, event):
             self.check(action)
 
     def check(self, action: api.Action) -> None:
         match action:
             case api.SendSetUp(call, server, within):
-                assert call in self.open, "rule 1: sent after the end"
-                assert call not in self.out, "rule 2: two attempts out"
-                assert self.states.get(server) == Availability.READY, "rule 3: not ready"
-                assert self.now >= self.barred.get(call, -math.inf), "rule 5: before the release"
-                kind, cap = self.kinds[call]
-                if call in self.ran and kind.effect != "free":
+                assert call in self.open, "rule 1: sent after the final answer"
+                assert call not in self.attempts, "rule 2: two attempts at once"
+                assert self.states.get(server) == Availability.READY, "rule 3: sent to a server that is not ready"
+                assert self.now >= self.barred.get(call, -math.inf), "rule 5: sent before the wait was over"
+                call_class, cap = self.classes[call]
+                if call in self.ran and call_class.effect != "free":
                     first, sent = self.ran[call]
-                    assert kind.effect == "guarded", "rule 2: single shot sent again"
-                    assert self.now < sent + kind.window, "rule 2: beyond the window"
-                    if kind.group == "cell":
-                        assert first == server, "rule 2: another group"
+                    assert call_class.effect == "guarded", "rule 2: single_shot repeated"
+                    assert self.now < sent + call_class.window, "rule 2: repeated after the window"
+                    if call_class.group == "cell":
+                        assert first == server, "rule 2: repeated in another group"
                 leg = self.legs.get(call, -1) + 1
                 assert leg < cap
                 self.legs[call] = leg
                 until = min(self.open[call], self.now + within if within > 0 else math.inf)
-                self.out[call] = (server, leg, until)
+                self.attempts[call] = (server, leg, until)
             case api.Refuse(call) | api.Fail(call):
-                assert call in self.open, "rule 1: a second answer"
-                assert call not in self.out, "an attempt was still out"
-                assert self.now <= self.open[call] + self.made.contract.answer_slack
+                assert call in self.open, "rule 1: a second final answer"
+                assert call not in self.attempts, "an attempt was still outstanding"
+                assert self.now <= self.open[call] + self.settings.contract.answer_slack
                 if isinstance(action, api.Refuse) and call in self.ran:
-                    kind, _ = self.kinds[call]
-                    assert kind.effect == "free" or (kind.effect == "guarded" and kind.group == "all")
+                    call_class, _ = self.classes[call]
+                    assert call_class.effect == "free" or (
+                        call_class.effect == "guarded" and call_class.group == "all"
+                    )
                 self.end(call)
             case api.SetTimer(token, at):
                 self.timers.append((at, token))
             case api.Cancel() | api.SendMessage() | api.Probe():
-                raise AssertionError(f"not permitted here: {action}")
+                raise AssertionError(f"unexpected action: {action}")
 
     def end(self, call: int) -> None:
         del self.open[call]
         self.closed.add(call)
 
-    def finish(self, call: int, status: Status, stands: bool = False) -> None:
-        server, leg, _ = self.out.pop(call)
-        if stands:
+    def finish(self, call: int, status: Status, established: bool = False) -> None:
+        server, leg, _ = self.attempts.pop(call)
+        if established:
             self.end(call)
-            self.give(api.Answered(call, leg, server, 5.0))
+            self.send(api.Answered(call, leg, server, 5.0))
             return
         if status in UNPROVEN:
             self.ran.setdefault(call, (server, self.now - 5.0))
         if status in (Status.TIMEOUT, Status.RESET, Status.CANCELLED):
-            self.barred[call] = self.now + self.made.contract.clear_wait
+            self.barred[call] = self.now + self.settings.contract.clear_wait
         final = call not in self.open
         note = 3 if status == Status.FULL else 0
-        self.give(api.Ended(call, leg, server, status, final, 5.0, note, (9.0, 9.0)))
+        self.send(api.Ended(call, leg, server, status, final, 5.0, note, (9.0, 9.0)))
 
     def advance(self, step: float) -> None:
-        """Move the clock, keeping time-outs, timers and deadlines in their order (5 ms ticks)."""
+        """Advance the clock, with time-outs and timers in order of their time."""
         goal = self.now + step
         while True:
-            due = [(until, 0, call) for call, (_, _, until) in self.out.items()]
+            due = [(until, 0, call) for call, (_, _, until) in self.attempts.items()]
             due += [(at, 1, token) for at, token in self.timers]
             due = [item for item in due if item[0] <= goal]
             if not due:
                 break
-            at, what, ident = min(due)
+            at, source, ident = min(due)
             self.now = max(self.now, at)
-            if what == 0:
+            if source == 0:
                 self.finish(ident, Status.TIMEOUT)
             else:
                 self.timers.remove((at, ident))
-                self.give(api.TimerFired(ident))
+                self.send(api.TimerFired(ident))
         self.now = goal
 
-    def relist(self, scope: int, servers: dict[int, tuple[int, float]]) -> None:
+    def change_list(self, scope: int, servers: dict[int, tuple[int, float]]) -> None:
         entries = []
         for server, (state, since) in servers.items():
             entries.append(entry(server, state, since))
         if scope == Scope.FULL:
             self.states = {}
-        for one in entries:
-            self.states[one.server] = one.availability
-        self.give(api.ListChange(scope, tuple(entries)))
+        for listed in entries:
+            self.states[listed.server] = listed.availability
+        self.send(api.ListChange(scope, tuple(entries)))
 
 
 LISTS = st.dictionaries(
@@ -127,14 +129,14 @@
     st.one_of(
         st.tuples(st.just("demand"), st.integers(0, 2), st.integers(1, 5), st.floats(1.0, 3000.0)),
         st.tuples(st.just("finish"), st.integers(0, 50), st.sampled_from(list(Status)[1:])),
-        st.tuples(st.just("stands"), st.integers(0, 50)),
+        st.tuples(st.just("established"), st.integers(0, 50)),
         st.tuples(st.just("hangup"), st.integers(0, 50)),
         st.tuples(st.just("list"), st.sampled_from([Scope.FULL, Scope.DELTA]), LISTS),
         st.tuples(st.just("failed")),
         st.tuples(st.just("advance"), st.floats(0.0, 700.0)),
         st.tuples(st.just("stale"), st.integers(0, 60)),
-        st.tuples(st.just("kill")),
-        st.tuples(st.just("tune"), st.integers(0, 3)),
+        st.tuples(st.just("restart")),
+        st.tuples(st.just("settings"), st.integers(0, 3)),
     ),
     max_size=60,
 )
@@ -151,7 +153,7 @@
     },
     {"Deadline": 9000.0, "Effect": "single_shot", "Name": "c", "OnTime": 1000.0, "Worth": 2.0},
 ]
-VERSIONS = [  # of the settings: classes dropped, changed, added and back under their names; other attempts
+VERSIONS = [  # of the settings: classes removed, changed, added and restored by name; other attempts
     (CLASSES, 3),
     ([CLASSES[2] | {"Effect": "free"}, CLASSES[0]], 1),
     ([CLASSES[0] | {"Effect": "single_shot", "LateWorth": 0.5}, CLASSES[1], {**CLASSES[2], "Name": "d"}], 5),
@@ -159,56 +161,67 @@
 ]
 
 
-def pick(choices: Any, place: int) -> int | None:
-    known = sorted(choices)
-    return known[place % len(known)] if known else None
+def pick(choices: Any, index: int) -> int | None:
+    ordered = sorted(choices)
+    return ordered[index % len(ordered)] if ordered else None
 
 
 @settings(max_examples=250, derandomize=True, deadline=None)
 @given(STEPS)
 def test_rules_1_2_3_and_5_hold(steps: list[tuple[Any, ...]]) -> None:
-    versions = [make_settings(Classes=kinds, Limits={"Cancel": False, "AttemptsCap": cap}) for kinds, cap in VERSIONS]
-    made = versions[0]
-    world = World(Controller(made, 1), made)
-    world.relist(Scope.CACHED, {1: (1, 0.0), 2: (1, 0.0), 3: (1, 0.0)})
+    versions = [
+        make_settings(Classes=classes, Limits={"Cancel": False, "AttemptsCap": cap}) for classes, cap in VERSIONS
+    ]
+    first = versions[0]
+    environment = Environment(Controller(first, 1), first)
+    environment.change_list(Scope.CACHED, {1: (1, 0.0), 2: (1, 0.0), 3: (1, 0.0)})
     for step in steps:
         match step:
             case ("demand", kind, dest, grace):
-                call = world.next_call
-                world.next_call += 1
-                world.open[call] = world.now + grace
-                numbers = sorted(world.made.class_ids.values())
+                call = environment.next_call
+                environment.next_call += 1
+                environment.open[call] = environment.now + grace
+                numbers = sorted(environment.settings.class_ids.values())
                 kind = numbers[kind % len(numbers)]
-                world.kinds[call] = world.made.classes[kind], world.made.limits.attempts_cap
-                world.give(demand(call, kind, dest, grace))
-            case ("finish", place, status):
-                if (call := pick(world.out, place)) is not None:
-                    world.finish(call, status)
-            case ("stands", place):
-                if (call := pick(set(world.out) & set(world.open), place)) is not None:
-                    world.finish(call, Status.OK, stands=True)
-            case ("hangup", place):
-                if (call := pick(world.open, place)) is not None:
-                    world.end(call)
-                    world.give(api.HungUp(call))
+                environment.classes[call] = (
+                    environment.settings.classes[kind],
+                    environment.settings.limits.attempts_cap,
+                )
+                environment.send(call_request(call, kind, dest, grace))
+            case ("finish", index, status):
+                if (call := pick(environment.attempts, index)) is not None:
+                    environment.finish(call, status)
+            case ("established", index):
+                if (call := pick(set(environment.attempts) & set(environment.open), index)) is not None:
+                    environment.finish(call, Status.OK, established=True)
+            case ("hangup", index):
+                if (call := pick(environment.open, index)) is not None:
+                    environment.end(call)
+                    environment.send(api.HungUp(call))
             case ("list", scope, servers):
-                world.relist(scope, servers)
+                environment.change_list(scope, servers)
             case ("failed",):
-                world.give(api.ListChange(Scope.FAILED, ()))
+                environment.send(api.ListChange(Scope.FAILED, ()))
             case ("advance", step_ms):
-                world.advance(step_ms)
+                environment.advance(step_ms)
             case ("stale", ident):
-                world.give(api.HungUp(10_000 + ident))
-                world.give(api.TimerFired(10_000 + ident))
-                world.give(ended(10_000 + ident, 1, Status.TIMEOUT))
-            case ("tune", version):
-                world.made = versions[version].following(world.made)
-                world.give(api.NewSettings(world.made))
-            case ("kill",):
-                world.controller = Controller(world.made, 2)
-                world.open, world.out, world.timers, world.ran, world.barred = {}, {}, [], {}, {}
-                states = {server: (state, 0.0) for server, state in world.states.items()}
-                world.relist(Scope.CACHED, states)
-    world.advance(10_000.0)
-    assert not world.open, "rule 1: calls without a final answer"
-    assert not world.controller.calls, "state was kept for calls that are over"
+                environment.send(api.HungUp(10_000 + ident))
+                environment.send(api.TimerFired(10_000 + ident))
+                environment.send(ended(10_000 + ident, 1, Status.TIMEOUT))
+            case ("settings", version):
+                environment.settings = versions[version].following(environment.settings)
+                environment.send(api.NewSettings(environment.settings))
+            case ("restart",):
+                environment.controller = Controller(environment.settings, 2)
+                environment.open, environment.attempts, environment.timers, environment.ran, environment.barred = (
+                    {},
+                    {},
+                    [],
+                    {},
+                    {},
+                )
+                states = {server: (state, 0.0) for server, state in environment.states.items()}
+                environment.change_list(Scope.CACHED, states)
+    environment.advance(10_000.0)
+    assert not environment.open, "rule 1: calls without a final answer"
+    assert not environment.controller.calls, "state is left of calls that have ended"
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The sites of other customers that ship: what they are made of, and how the bench's files come beside them."""
+"""The example sites in deploy/sites: their contents, and the script that copies the benchmark's files there."""
 
 import subprocess
 import tomllib
@@ -14,7 +14,7 @@
 def test_a_site_has_its_classes_and_tenants(name: str, classes: int, tenants: int) -> None:
     site = tomllib.loads((SITES / f"{name}.toml").read_text())
     assert (len(site["class"]), len(site["fam"]["class"]), len(site["tenant"])) == (classes, classes, tenants)
-    assert sum(one["share"] for one in site["tenant"]) == pytest.approx(1.0)
+    assert sum(tenant["share"] for tenant in site["tenant"]) == pytest.approx(1.0)
 
 
 def prepare(script: Path, *folders: str) -> subprocess.CompletedProcess[str]:
@@ -22,26 +22,26 @@
 
 
 @pytest.mark.parametrize("kit", [None, "nowhere", "some"])
-def test_without_the_kit_it_says_so_in_one_line_and_puts_nothing_there(kit: str | None, tmp_path: Path) -> None:
+def test_without_the_kit_prepare_reports_one_line_and_copies_nothing(kit: str | None, tmp_path: Path) -> None:
     script = tmp_path / "prepare"
     script.write_bytes((SITES / "prepare").read_bytes())
     script.chmod(0o755)
-    if kit == "some":  # but not all
+    if kit == "some":  # some of the needed files
         (tmp_path / kit).mkdir()
         (tmp_path / kit / NEEDED[0]).write_text("{}")
-    told = prepare(script, *([str(tmp_path / kit)] if kit else []))
-    assert told.returncode == 2 and told.stderr.count("\n") == 1 and "missing" in told.stderr
+    done = prepare(script, *([str(tmp_path / kit)] if kit else []))
+    assert done.returncode == 2 and done.stderr.count("\n") == 1 and "missing" in done.stderr
     assert not [name for name in NEEDED if (tmp_path / name).exists()]
 
 
-def test_the_kits_files_come_beside_the_sites_also_again(tmp_path: Path) -> None:
+def test_prepare_copies_the_kits_files_and_can_be_repeated(tmp_path: Path) -> None:
     script, kit = tmp_path / "prepare", tmp_path / "kit"
     script.write_bytes((SITES / "prepare").read_bytes())
     script.chmod(0o755)
     kit.mkdir()
     for name in NEEDED:
         (kit / name).write_text(name)
-        (kit / name).chmod(0o444)  # as the kit's are
+        (kit / name).chmod(0o444)  # read-only, like the files of the kit
     for _ in range(2):
         assert prepare(script, str(kit)).returncode == 0
     assert [(tmp_path / name).read_text() for name in NEEDED] == list(NEEDED)
