--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -44,9 +44,7 @@
         self.server_started = api.ListChange(api.Scope.DELTA, (entry(COLD, since=STARTED_AT_MS),))
         self.shares = [self.rng.choice(TRAFFIC_SHARES) if case.uneven else 1.0 for _ in range(case.nodes)]
         self.processes = [self._running_process(fleet_rate * share / sum(self.shares)) for share in self.shares]
-        self.replaced_processes: dict[
-            int, tuple[Controller, float]
-        ] = {}  # by node: the replaced process, and until when
+        self.old_processes: dict[int, tuple[Controller, float]] = {}  # by node: replaced process, and until when
         self.replaced_count = 0
         self.sends: list[float] = []
 
@@ -71,14 +69,14 @@
         due = min(self.case.nodes, step * int(now / STEP_MS))
         while self.replaced_count < due:
             if self.case.upgrades:
-                self.replaced_processes[self.replaced_count] = self.processes[self.replaced_count], now + OVERLAP_MS
+                self.old_processes[self.replaced_count] = self.processes[self.replaced_count], now + OVERLAP_MS
             self.processes[self.replaced_count] = self._new_process(now)
             self.replaced_count += 1
 
     def _process(self, now: float, node: int) -> Controller:
         """Return the process that gets a call of this node; a replaced one still gets half of them for a while."""
-        if node in self.replaced_processes:
-            process, until = self.replaced_processes[node]
+        if node in self.old_processes:
+            process, until = self.old_processes[node]
             if now < until and self.rng.random() < 0.5:
                 return process
         return self.processes[node]
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -21,7 +21,7 @@
     # k = 3: N(1000) = 3 and floors 0.01 * 900 + 0.005 * 600 = 12; 15 x < 1000 up to x = 66.6.
     # k = 2: N(400) = 0, floors 0.01 * 300 = 3. Set-ups due in [900, 1000) would make (6) for k = 1, i = 3 fail
     # first: floors 0.01 * 100 + 0.005 * 100 = 1.5, 4.5 x < 100 up to x = 22.2. Those due in 500 ms are in no
-    # window of (6) for k = 1, so that (4) decides.
+    # window of (6) for k = 1.
     due = [500.0, 500.0, 500.0]
     # (6) k=1,i=3: 0 + 1.5; k=1,i=2: N(400)-N(300)=0 + 0.01*100=1; k=2,i=3: N(1000)-N(600)=0,
     # earlier floors 3, later floors 0.005*400 + 0.01*100 = 3: 6 x < 400 up to 66.6; both change at x = 66.67.
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -66,7 +66,7 @@
     # the floors refused.
     controller = Controller(settings(), 5)
     give_list(controller, 0.0, 1, 2)
-    core = controller.node.fleet.servers[1]
+    server = controller.node.fleet.servers[1]
     assert sent_to(controller.handle(100.0, call_request(1))) == [1]
     actions: list[api.Action] = []
     for call in range(2, 5):
@@ -74,10 +74,10 @@
         assert sent_to(controller.handle(sent, call_request(call))) == [1]
         actions += controller.handle(sent + 20.0, api.Answered(call, 0, 1, 20.0))
     assert [action for action in actions if isinstance(action, api.Cancel)] == [api.Cancel(1, 0)]
-    assert core.delay_per_set_up(controller.node.clock.awake) <= 20.0
+    assert server.delay_per_set_up(controller.node.clock.awake) <= 20.0
     controller.handle(430.0, api.Ended(1, 0, 1, api.Status.TIMEOUT, False, 330.0))
-    assert core.level == 0
-    assert core.timed_out_at < core.last_answer_at
+    assert server.level == 0
+    assert server.timed_out_at < server.last_answer_at
     assert sent_to(controller.handle(440.0, call_request(9))) == [1]
 
 
@@ -103,14 +103,14 @@
 def test_a_server_that_answers_after_a_long_silence_counts_as_cold() -> None:
     controller = Controller(settings(), 5)
     give_list(controller, 0.0, 1)
-    core = controller.node.fleet.servers[1]
+    server = controller.node.fleet.servers[1]
     controller.handle(100.0, call_request(1))
     controller.handle(120.0, api.Answered(1, 0, 1, 20.0))
     controller.handle(200.0, call_request(2, time_left=8000.0))
     advance(controller, 200.0, 7000.0)
     controller.handle(7000.0, api.Answered(2, 0, 1, 6800.0))
-    assert core.cold_from == 7000.0
-    assert core.tokens < 1.0
+    assert server.cold_from == 7000.0
+    assert server.tokens < 1.0
 
 
 def test_a_server_that_refused_for_lack_of_lines_gets_no_calls_until_its_next_report_or_a_timeout() -> None:
@@ -167,8 +167,8 @@
     controller.handle(200.0, api.ServerReport(2, 0, 0.0, (100.0, 100.0, -1.0)))
     controller.node.fleet.servers[2].tokens = 2.0
     assert sent_to(controller.handle(201.0, call_request(99))) == [1]
-    targets = [sent_to(controller.handle(202.0 + leg, ended(99, 1, error, leg))) for leg in range(3)]
-    assert targets == [[1], [1], [2]]
+    servers_tried = [sent_to(controller.handle(202.0 + leg, ended(99, 1, error, leg))) for leg in range(3)]
+    assert servers_tried == [[1], [1], [2]]
     for call in range(100, 120):
         assert sent_to(controller.handle(300.0, call_request(call, call_class=1))) == [1]
         controller.handle(301.0, api.Answered(call, 0, 1, 1.0))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 from seamlb.daemon import Daemon
 from seamlb.extras import Plugins
 from seamlb.policy.controller import Controller
-from tests.loopback import ScriptedDesk, Story, invite, silent
+from tests.loopback import DaemonTestCase, ScriptedDesk, invite, never_answer
 from tests.support import RAW, call_request, ended, give_list, sent_to, settings
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -26,11 +26,7 @@
 def test_ids_never_shift_and_an_id_in_use_is_not_reused() -> None:
     first = version(A, B)
     second = version(C, B | {"Worth": 7.0}).following(first)
-    assert second.class_ids == {"c": 2, "b": 1} and [call_class.name for call_class in second.classes] == [
-        "a",
-        "b",
-        "c",
-    ]
+    assert second.class_ids == {"c": 2, "b": 1} and [known.name for known in second.classes] == ["a", "b", "c"]
     assert second.classes[1].worth == 7.0 and second.classes[0] == first.classes[0]
     third = version(A, B, C).following(second, classes_in_use={0})
     assert third.class_ids == {"a": 3, "b": 1, "c": 2}, "an open call still has the id"
@@ -128,7 +124,7 @@
                 yield path, [*value[:index], reduced, *value[index + 1 :]]
 
 
-class Reloads(Story):
+class Reloads(DaemonTestCase):
     async def serve(self, **changes: Any) -> tuple[Daemon, ScriptedDesk]:
         self.path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         self.good: dict[str, Any] = {"listen": "127.0.0.1:0", "limits": {"sockets": 100}, "settings": RAW}
@@ -162,17 +158,17 @@
     async def test_a_reload_adds_one_class_and_removes_another(self) -> None:
         daemon, desk = await self.serve()
         caller = await self.caller()
-        caller.send(invite("00000000000000a0", kind="c"))
+        caller.send(invite("00000000000000a0", call_class="c"))
         await caller.until(400)
-        desk.script = silent
-        caller.send(invite(kind="a"))
+        desk.script = never_answer
+        caller.send(invite(call_class="a"))
         pending = await desk.until("INVITE")
         self.write(self.good | {"settings": RAW | {"Classes": [B, C]}})
         daemon.reload()
-        caller.send(invite("00000000000000a2", kind="a"))
+        caller.send(invite("00000000000000a2", call_class="a"))
         await caller.until(400)
         desk.script = ScriptedDesk().script
-        caller.send(invite("00000000000000a3", kind="c"))
+        caller.send(invite("00000000000000a3", call_class="c"))
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a3")
         await ScriptedDesk().script(desk.peers[0], pending)  # the call that was open is answered as before
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a1")
