--- a/seamlb/policy/callers.py
+++ b/seamlb/policy/callers.py
@@ -40,11 +40,11 @@
         depth = 1.0 + rate * EVIDENCE_MAX_AGE_MS
         return int(not self.share_buckets.setdefault(tenant, TokenBucket(depth, now)).take(now, rate, depth))
 
-    def record_refusal(self, now: float, call: Call, patience: float) -> None:
+    def record_refusal(self, now: float, call: Call, max_age: float) -> None:
         """Remember a caller that leaves without its call, so that the same number soon again is a redial."""
         while self.turned_away:
             oldest = next(iter(self.turned_away))
-            if self.turned_away[oldest][1] >= now - patience and len(self.turned_away) < MAX_REMEMBERED:
+            if self.turned_away[oldest][1] >= now - max_age and len(self.turned_away) < MAX_REMEMBERED:
                 break
             del self.turned_away[oldest]
         if call.caller[0] and call.caller[0] not in self.busy_until:
--- a/seamlb/policy/node.py
+++ b/seamlb/policy/node.py
@@ -63,7 +63,7 @@
     def record_answer(self, now: float, server: Server) -> None:
         """Record a sign of life; after a long silence the server counts as cold, as it may have restarted.
 
-        A server that was only unreachable loses capacity by this.
+        This needlessly limits a server that was only unreachable.
         """
         awake = self.clock.awake
         if awake - server.last_answer_at > EVIDENCE_MAX_AGE_MS and self.silent(now, server):
