--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -173,7 +173,7 @@
         await ScriptedDesk().script(desk.peers[0], pending)  # the call that was open is answered as before
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a1")
         self.assertEqual(self.events("reloaded")[-1]["waits_for_restart"], [])
-        self.assertEqual(daemon.figures()["fulfilled"], {"a": 1, "b": 0, "c": 1})
+        self.assertEqual(daemon.stats()["fulfilled"], {"a": 1, "b": 0, "c": 1})
         self.assertEqual((daemon.cfg_accepted, daemon.cfg_invalid), (1, 0))
 
     async def test_an_invalid_file_changes_nothing_and_logs_one_line(self) -> None:
