--- a/seamlb/policy/gating.py
+++ b/seamlb/policy/gating.py
@@ -5,7 +5,7 @@
 from seamlb.policy.node import DETECTION_STREAK, Node
 
 LEVEL_1_MARGIN = 0.9  # the paper's f, a factor on the right side of (4) and (6)
-GAPPING_STEP_MS = 50.0  # ms, the paper's X: from gapping (or lifting) one rank to the next
+GAPPING_STEP_MS = 50.0  # ms, the paper's X: from gapping one rank to the next; lifting, not in the paper, too
 FLOOR_LOAD = 0.1  # left side of (1) when all ranks run at their floors
 
 
