--- a/seamlb/desks/platform.py
+++ b/seamlb/desks/platform.py
@@ -12,9 +12,9 @@
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.report import NOTES, parse_report
 from seamlb.protocol.sip import Message, parameter, response
-from seamlb.routing.model import Answer, Attempt, Availability, Desk, Heard, Outcome, Status
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Availability, Desk, Outcome, Status
 
-STATUSES = {503: Status.FULL, 486: Status.ERROR, 500: Status.ERROR, 480: Status.MOOT, 504: Status.RESET}
+STATUSES = {503: Status.FULL, 486: Status.ERROR, 500: Status.ERROR, 480: Status.NOT_RUN, 504: Status.RESET}
 NORMAL = 16  # Q.850 cause of a call that was released
 
 
@@ -32,13 +32,13 @@
         self.fields = fields
         self.sampled = sampled
         self.stray = stray  # the release of a call that this process never knew; to be called back once it is told
-        self.owner = LinkOwner(connect_timeout, relayed, self._message, self._salvaged)
-        self.legs, self.tasks = self.owner.legs, self.owner.tasks
+        self.context = LinkOwner(connect_timeout, relayed, self._message, self._salvaged)
+        self.legs, self.tasks = self.context.legs, self.context.tasks
         self.links: dict[str, Link] = {}
 
     # -- asked by the core --------------------------------------------------------------------
 
-    def listed(self, desk: Desk) -> None:
+    def desk_changed(self, desk: Desk) -> None:
         """Keep a connection to each listed server: the state of its group comes on it."""
         link = self.links.get(desk.ident)
         if link is not None and (link.desk.address != desk.address or desk.availability == Availability.GONE):
@@ -48,21 +48,21 @@
         if desk.availability == Availability.GONE:
             return
         if link is None:
-            link = self.links[desk.ident] = Link(desk, self.owner)
+            link = self.links[desk.ident] = Link(desk, self.context)
         elif desk.since_ms != link.desk.since_ms:
             link.cut_standing()  # its process is a new one: what stood at the old one is cut
         link.desk = desk
         if desk.availability != Availability.READY:
             link.fail_waiting()  # a connection that comes up late must not carry them to a server that drains
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
+    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
         """Start an attempt; `heard` is told at most an Answer and then exactly one Outcome."""
         if link := self.links.get(attempt.desk):
             link.set_up(Leg(attempt, heard, sent=asyncio.get_running_loop().time()))
         else:
             heard(attempt.leg, Outcome(Status.CONNECT_FAILED))
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Call an attempt off; nothing more is told of it."""
         leg = self.legs.take_off(_key(attempt))
         link = self.links.get(attempt.desk)
@@ -80,26 +80,26 @@
         if link := self.links.get(attempt.desk):
             link.release(attempt, cause)
 
-    def free(self, desk: str) -> None:
+    def close_idle(self, desk: str) -> None:
         """Close idle connections."""
         if link := self.links.get(desk):
             link.free_idle(CloseReason.IDLE)
 
-    async def known(self) -> None:
+    async def wait_for_states(self) -> None:
         """Wait until each listed server has told its state or turned out to be out of reach."""
         while not all(link.tells or link.dead for link in self.links.values()):
             await asyncio.sleep(0.02)
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Has a server sent bytes that were not read yet? A release may be among them, and is sent once."""
-        return any(connection.unread() for link in self.links.values() for connection in link.open)
+        return any(connection.has_unread_data() for link in self.links.values() for connection in link.open)
 
     def close(self) -> None:
         """End all connections; may be called again."""
-        self.owner.closing = True
+        self.context.closing = True
         for link in list(self.links.values()):
             for connection in link.open[:]:
-                connection.finish(CloseReason.SHUTDOWN)
+                connection.flush_and_close(CloseReason.SHUTDOWN)
         for task in self.tasks:
             task.cancel()
 
--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -16,7 +16,7 @@
 from seamlb.net.lag import Lag
 from seamlb.protocol.dialog import Dialog, Resender
 from seamlb.protocol.sip import Message, digits, parameter, response
-from seamlb.routing.agent import Agent, Life
+from seamlb.routing.agent import Agent, CallSession
 from seamlb.routing.model import Request
 from seamlb.sip.endpoint import Entry, Flow, SipEndpoint, Target, uri_target
 from seamlb.sip.settings import SipFrontConfig
@@ -39,7 +39,7 @@
     entry: Entry
     flow: Flow
     tag: str
-    life: Life | None = None
+    life: CallSession | None = None
     dialog: Dialog | None = None
     resender: Resender | None = None
     timer: asyncio.TimerHandle | None = None
@@ -54,7 +54,7 @@
         answer = response(self.invite, status, *extra, body=body, tag=self.tag if status > 100 else "")
         self.front.endpoint.respond(self.entry, answer)
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         """200 with the desk's description, byte for byte; resent until the ACK."""
         if self.answered:
             return False
@@ -162,9 +162,9 @@
         await self.endpoint.listen(self.config.udp, self.config.tcp)
         self.lag = Lag()
 
-    def tend(self, now: float) -> None:
+    def apply_lifecycle(self, now: float) -> None:
         """Do what the lifecycle says of the listener; its callers' connections end with the process."""
-        if not self.lifecycle.listens(now):
+        if not self.lifecycle.accepts_connections(now):
             self.endpoint.stop_listening()
 
     def close(self) -> None:
@@ -251,7 +251,7 @@
     def left(self, call: Call, cause: int) -> None:
         """The caller has gone, or its call can't go on."""
         if call.life:
-            self.agent.caller_left(call.life, cause)
+            self.agent.caller_hung_up(call.life, cause)
 
     # -- a new call ---------------------------------------------------------------------------
 
@@ -269,7 +269,7 @@
         except ManagementCallError as bad:
             return call.respond(400, ("Warning", f'399 seamlb "{bad}"'))
         self.pending[entry.key] = call
-        call.life = self.agent.take(request, call)
+        call.life = self.agent.accept(request, call)
 
     def _read(self, message: Message, ident: str, transport: str) -> Request:
         config, settings = self.config, self.agent.settings
@@ -284,21 +284,21 @@
                 "transport": transport,
                 "headers": {key.lower(): value for key, value in message.headers},
             }
-            name, tenant = self.classify(facts, settings.kinds, settings.tenants)
-        if name not in settings.kinds:
+            name, tenant = self.classify(facts, settings.class_ids, settings.tenant_ids)
+        if name not in settings.class_ids:
             raise ManagementCallError("unknown class")
-        if tenant and tenant not in settings.tenants:
+        if tenant and tenant not in settings.tenant_ids:
             raise ManagementCallError("unknown tenant")
-        kind = settings.classes[settings.kinds[name]]
+        kind = settings.classes[settings.class_ids[name]]
         timer = message.get(config.deadline_header.lower())
         waits = patience(timer, kind, config.deadline_header) if timer else config.default_deadline_ms
         usual = config.destinations.get(name, min(kind.pools) if kind.pools else 0)
         told = figures(message.get(config.figures_header.lower()), kind, usual)
         return Request(
             ident=ident,
-            call_class=settings.kinds[name],
+            call_class=settings.class_ids[name],
             class_name=name,
-            tenant=settings.tenants.get(tenant, 0),
+            tenant=settings.tenant_ids.get(tenant, 0),
             tenant_name=tenant,
             number=number,
             patience_ms=waits or kind.deadline,
--- a/seamlb/zones/overlay.py
+++ b/seamlb/zones/overlay.py
@@ -13,15 +13,15 @@
 from typing import Any
 
 from seamlb.routing.model import Availability, Desk, Status
-from seamlb.routing.seam import Part
-from seamlb.zones.fleet import OUT, RAMP, Paces, State, Vote, Zones
+from seamlb.routing.seam import InputFilter
+from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, Paces, Vote, Zones, ZoneState
 from seamlb.zones.sight import Sight
 
 FAILED = (Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
 LIVES = (Status.OK, Status.FULL, Status.ERROR)  # the desk answered
 
 
-class Overlay(Part):
+class ZoneFilter(InputFilter):
     """One agent's: fed with its attempts and the others' votes, asked what its module is to believe."""
 
     def __init__(
@@ -31,8 +31,8 @@
         bears: float,
         stall: float,
         regions: Sequence[frozenset[int]] = (),
-        out: float = OUT,
-        ramp: float = RAMP,
+        out: float = MIN_OUT_S,
+        ramp: float = RAMP_S,
     ) -> None:
         self.names, self.bears, self.stall = names, bears, stall
         self.sight = Sight()
@@ -48,12 +48,12 @@
 
     # -- attempts -----------------------------------------------------------------------------
 
-    def sent(self, now: float, attempt: int, desk: str) -> None:
+    def attempt_started(self, now: float, attempt: int, desk: str) -> None:
         """An attempt goes out."""
         self.out[attempt] = now, desk
         self.paces.sent(desk)
 
-    def ended(self, now: float, attempt: int, status: Status) -> None:
+    def attempt_ended(self, now: float, attempt: int, status: Status) -> None:
         """It is over; one that stalled is told already. One from before its zone was left tells of that time."""
         at, desk = self.out.pop(attempt, (0.0, ""))
         if desk in self.desks and status in (*FAILED, *LIVES):
@@ -69,7 +69,7 @@
         self.divisor, self.votes = max(1, divisor), dict(others)
         for attempt, (at, _) in list(self.out.items()):
             if now - at > self.stall:  # its end may be long in coming
-                self.ended(now, attempt, Status.TIMEOUT)
+                self.attempt_ended(now, attempt, Status.TIMEOUT)
         before = {number: zone.state for number, zone in self.zones.zones.items()}
         self.zones.step(now, self.vote(now), others)
         for number, zone in self.zones.zones.items():
@@ -94,10 +94,10 @@
         zone = self.zones.zones.get(desk.zone)
         if zone is None or desk.availability != Availability.READY:
             return desk
-        if zone.state is State.OUT:
+        if zone.state is ZoneState.OUT:
             self.since.pop(desk.ident, None)
             return replace(desk, availability=Availability.DRAINING)
-        if zone.state is State.RETURN and desk.ident not in self.since:
+        if zone.state is ZoneState.RETURN and desk.ident not in self.since:
             self.since[desk.ident] = unix_ms
         desk = replace(desk, since_ms=max(desk.since_ms, self.since.get(desk.ident, 0.0)))
         part = self.zones.part(now, desk.zone)
@@ -105,7 +105,7 @@
             return replace(desk, availability=Availability.DRAINING)
         return desk
 
-    def listed(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
+    def filter_desks(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
         """News of the list, as the module is to have them."""
         desks = list(desks)
         if whole:
@@ -121,7 +121,7 @@
         self.told |= {one.ident: one for one in found if one.availability != Availability.GONE}
         return found
 
-    def changed(self, now: float, unix_ms: float) -> list[Desk]:
+    def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
         """Desks of which the module has to be told something else now."""
         found = []
         for name, desk in self.desks.items():
@@ -142,7 +142,7 @@
         """`out`, `in` or `auto` for a zone by its name; False if there is no such zone or word."""
         if name not in self.names or state not in ("out", "in", "auto"):
             return False
-        self.zones.force(self.names.index(name), None if state == "auto" else State(state))
+        self.zones.force(self.names.index(name), None if state == "auto" else ZoneState(state))
         return True
 
     def table(self, now: float) -> dict[str, Any]:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,72 +10,84 @@
 from seamlb.net.connection import Connection
 from seamlb.net.dial import connect
 from seamlb.protocol.sip import MAX_MESSAGE, Message
-from seamlb.routing.life import Heard, Life
+from seamlb.routing.life import AttemptUpdate, CallSession
 from seamlb.routing.model import Answer, Outcome
-from tests.loopback import PATIENCE, SDP, Peer, ScriptedDesk, Story, bye, invite, plain, reply, silent
+from tests.loopback import (
+    HANG_TIMEOUT,
+    SDP,
+    DaemonTestCase,
+    Peer,
+    ScriptedDesk,
+    bye,
+    invite,
+    never_answer,
+    reply,
+    sip_request,
+)
 
 ID = "00000000000000a1"
 
 
-class CallersThatGo(Story):
+class CallersThatGo(DaemonTestCase):
     async def open_call(self) -> tuple[Any, ScriptedDesk, Peer, Any]:
         """A daemon, a server that says nothing, a caller, and its call with an attempt out."""
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
         await desk.until("INVITE")
-        (life,) = daemon.agent.lives.values()
-        return daemon, desk, caller, life
+        (session,) = daemon.agent.sessions.values()
+        return daemon, desk, caller, session
 
     async def test_no_attempt_begins_for_a_caller_whose_cancel_is_behind_the_decision(self) -> None:
-        daemon, desk, _, life = await self.open_call()
-        life.news.put_nowait(ended(life, api.Status.RESET))  # barred for 300 ms
-        await self.eventually(lambda: life.attempt is None)
-        life.news.put_nowait(api.CallOut(life.number, 0, 1000.0))  # the bar is over, and in the same turn of the loop
-        daemon.agent.caller_left(life)  # the caller goes
-        await self.eventually(lambda: not daemon.agent.lives)
+        daemon, desk, _, session = await self.open_call()
+        session.inbox.put_nowait(ended(session, api.Status.RESET))  # barred for 300 ms
+        await self.eventually(lambda: session.attempt is None)
+        # the bar is over, and in the same turn of the loop
+        session.inbox.put_nowait(api.SendSetUp(session.number, 0, 1000.0))
+        daemon.agent.caller_hung_up(session)  # the caller goes
+        await self.eventually(lambda: not daemon.agent.sessions)
         await self.until_quiet(daemon, desk)
         self.assertEqual(self.events("call_end")[-1]["result"], "left")
 
     async def test_a_caller_that_cancels_as_the_answer_comes_is_told_nothing_and_the_call_is_released(self) -> None:
-        daemon, desk, caller, life = await self.open_call()
-        life.news.put_nowait(answered(life))
-        daemon.agent.caller_left(life)
+        daemon, desk, caller, session = await self.open_call()
+        session.inbox.put_nowait(answered(session))
+        daemon.agent.caller_hung_up(session)
         await desk.until("BYE")
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await caller.next()).get("call-id"), "t")  # and no answer before it
 
     async def test_a_caller_that_cancels_in_the_bar_is_not_sent_on(self) -> None:
-        daemon, desk, caller, life = await self.open_call()
-        life.news.put_nowait(ended(life, api.Status.RESET))  # barred for 300 ms
-        await self.eventually(lambda: life.attempt is None)
-        caller.send(plain("CANCEL", ID))
-        await self.eventually(lambda: not daemon.agent.lives)
-        daemon.agent.tell(api.Alarm(life.number))  # the bar is over
+        daemon, desk, caller, session = await self.open_call()
+        session.inbox.put_nowait(ended(session, api.Status.RESET))  # barred for 300 ms
+        await self.eventually(lambda: session.attempt is None)
+        caller.send(sip_request("CANCEL", ID))
+        await self.eventually(lambda: not daemon.agent.sessions)
+        daemon.agent.notify(api.TimerFired(session.number))  # the bar is over
         await self.until_quiet(daemon, desk)
 
     async def until_quiet(self, daemon: Any, desk: ScriptedDesk) -> None:
         """The server reads what was written to it so far, and no set-up is in it."""
         (link,) = daemon.desks.links.values()
-        link.open[-1].send(plain("OPTIONS", "end").encode())
-        while (message := await asyncio.wait_for(desk.seen.get(), PATIENCE)).method != "OPTIONS":
+        link.open[-1].send(sip_request("OPTIONS", "end").encode())
+        while (message := await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)).method != "OPTIONS":
             self.assertNotEqual(message.method, "INVITE")
 
 
-def ended(life: Life, status: api.Status) -> Heard:
+def ended(session: CallSession, status: api.Status) -> AttemptUpdate:
     """The server's word that the attempt that is out has ended."""
-    assert life.attempt
-    return Heard(life.attempt.leg, Outcome(status))
+    assert session.attempt
+    return AttemptUpdate(session.attempt.leg, Outcome(status))
 
 
-def answered(life: Life) -> Heard:
+def answered(session: CallSession) -> AttemptUpdate:
     """The server's answer to the attempt that is out."""
-    assert life.attempt
-    return Heard(life.attempt.leg, Answer(SDP))
+    assert session.attempt
+    return AttemptUpdate(session.attempt.leg, Answer(SDP))
 
 
-class Servers(Story):
+class Servers(DaemonTestCase):
     async def waiting(self) -> tuple[Any, ScriptedDesk, Peer, asyncio.Event]:
         """A daemon, a server, a caller whose set-up waits for the connection, and what lets that come up."""
         desk, up = ScriptedDesk(), asyncio.Event()
@@ -88,7 +100,7 @@
         daemon = await self.start()
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(0, await desk.start())])
         self.addAsyncCleanup(desk.stop)
-        self.warm(daemon, 0)
+        self.fill_budget(daemon, 0)
         caller = await self.caller()
         caller.send(invite())
         await self.eventually(lambda: daemon.desks.links["d0"].waiting)
@@ -101,16 +113,16 @@
         up.set()
         self.assertEqual((await caller.next()).status, 503)
         await self.eventually(lambda: desk.peers)
-        self.assertTrue(desk.seen.empty())
+        self.assertTrue(desk.received.empty())
 
     async def test_a_caller_that_cancels_while_the_connection_comes_up_is_not_sent_on(self) -> None:
         daemon, desk, caller, up = await self.waiting()
-        caller.send(plain("CANCEL", ID))
-        await self.eventually(lambda: not daemon.agent.lives)
+        caller.send(sip_request("CANCEL", ID))
+        await self.eventually(lambda: not daemon.agent.sessions)
         up.set()
         await self.eventually(lambda: daemon.desks.links["d0"].open)
-        daemon.desks.links["d0"].open[-1].send(plain("OPTIONS", "end").encode())
-        first = await asyncio.wait_for(desk.seen.get(), PATIENCE)
+        daemon.desks.links["d0"].open[-1].send(sip_request("OPTIONS", "end").encode())
+        first = await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)
         self.assertEqual(first.method, "OPTIONS")  # and nothing before it
 
     async def test_a_release_that_a_new_server_sends_on_its_predecessors_connection_reaches_the_caller(self) -> None:
@@ -119,14 +131,14 @@
         daemon = await self.start(desk)
         daemon.agent.list_changed(api.Scope.DELTA, [self.desk(1, desk.address)])
         await self.eventually(lambda: len(desk.peers) == 2)
-        await self.eventually(lambda: daemon.agent.module.node.fleet.servers[1].told > 0)
-        self.warm(daemon, 1)
+        await self.eventually(lambda: daemon.agent.module.node.fleet.servers[1].reported_at > 0)
+        self.fill_budget(daemon, 1)
         caller = await self.caller()
         caller.send(invite(dest=1))
         await caller.until(200)
         desk.peers[0].send(bye(ID, 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
-        await self.eventually(lambda: not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.agent.sessions)
 
     async def test_an_answer_that_is_too_long_ends_the_attempt_and_another_server_takes_the_call(self) -> None:
         async def long(peer: Peer, message: Message) -> None:
@@ -155,13 +167,13 @@
         self.assertEqual([one["where"] for one in self.events("fault")], ["desk"])
 
 
-class Releases(Story):
+class Releases(DaemonTestCase):
     async def standing(self) -> tuple[Any, ScriptedDesk, Peer, Peer]:
         """A daemon, a server, a caller whose call stands there, and another that has asked for something."""
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         first, second = await self.caller(), await self.caller()
-        second.send(plain("OPTIONS", "t"))
+        second.send(sip_request("OPTIONS", "t"))
         await second.until(200)
         first.send(invite())
         await first.until(200)
@@ -170,7 +182,7 @@
     async def test_a_release_that_crossed_the_end_of_its_connection_is_told_on_another(self) -> None:
         daemon, desk, first, second = await self.standing()
         desk.peers[0].send(bye(ID, 16))
-        await self.eventually(lambda: not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.agent.sessions)
         first.close()  # it has read nothing of the release
         self.assertEqual((await second.until("BYE")).get("call-id"), ID)
 
@@ -178,11 +190,11 @@
         daemon, desk, first, second = await self.standing()
         desk.peers[0].send(bye(ID, 16))
         first.send(reply_to_bye(await first.until("BYE")))
-        first.send(plain("OPTIONS", "t"))
+        first.send(sip_request("OPTIONS", "t"))
         await first.until(200)
         first.close()
         await self.eventually(lambda: len(daemon.front.clients) == 1)
-        second.send(plain("OPTIONS", "t"))
+        second.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await second.next()).status, 200)
 
     async def test_a_release_is_not_written_to_a_connection_that_has_ended_unseen(self) -> None:
--- a/tests/test_desk_silence.py
+++ b/tests/test_desk_silence.py
@@ -10,7 +10,7 @@
 from seamlb.net.dial import ConnectError
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Message
-from tests.loopback import SDP, Peer, ScriptedDesk, Story, bye, invite, silent
+from tests.loopback import SDP, DaemonTestCase, Peer, ScriptedDesk, bye, invite, never_answer
 
 STATE = Message(
     "NOTIFY",
@@ -19,7 +19,7 @@
 )
 
 
-class Silence(Story):
+class Silence(DaemonTestCase):
     async def standing(self) -> tuple[ScriptedDesk, Daemon, Peer]:
         """A desk, a daemon and a caller whose call stands there."""
         desk = ScriptedDesk()
@@ -38,7 +38,7 @@
         desk.server.close()  # what is open stays open, and nothing comes on it
         heard = desk.peers[0]
         await self.eventually(lambda: self.events("connection_end"))  # refused: as a desk that drains would
-        self.assertTrue(daemon.agent.lives)
+        self.assertTrue(daemon.agent.sessions)
         heard.send(STATE)
         told = asyncio.get_running_loop().time()
         self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
@@ -61,7 +61,7 @@
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
     async def test_a_desk_that_falls_silent_is_tested_by_another_connection(self) -> None:
-        desk = ScriptedDesk(silent)
+        desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
@@ -90,7 +90,7 @@
                 with mock.patch("seamlb.desks.keeper.connect", connect):
                     await self.eventually(lambda left=left: len(left) == 1)
                     await asyncio.sleep(0.1)
-                    self.assertTrue(daemon.agent.lives)
+                    self.assertTrue(daemon.agent.sessions)
                     desk.peers[0].send(bye("00000000000000a1", 16))
                     self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from tests.loopback import Peer, ScriptedDesk, invite
-from tests.processes import ProcessStory
+from tests.processes import ProcessTestCase
 from tests.support import RAW
 
 SOCKETS = 512  # descriptors that the process may have
@@ -27,7 +27,7 @@
     raise ValueError("no VmHWM")
 
 
-class Flooded(ProcessStory):
+class Flooded(ProcessTestCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
@@ -38,8 +38,8 @@
         settings = RAW | {"Limits": RAW["Limits"] | {"MaxOpen": MAX_OPEN}}
         limits = {"sockets": SOCKETS}
         path.write_text(json.dumps({"settings": settings, "listen": self.listen, "known": known, "limits": limits}))
-        self.agent = await self.process("-m", "seamlb", "serve", "--config", str(path))
-        await self.line(self.agent, '"serving"')
+        self.agent = await self.start_process("-m", "seamlb", "serve", "--config", str(path))
+        await self.wait_for_line(self.agent, '"serving"')
         self.idle_kib = peak_kib(self.agent.pid)
         self.reader = asyncio.create_task(self.agent.stdout.read())
         self.addAsyncCleanup(desk.stop)
@@ -51,7 +51,7 @@
 
     async def answered(self) -> None:
         """Wait until a caller that comes now has its final answer."""
-        caller = await Peer.dial(self.listen)
+        caller = await Peer.connect(self.listen)
         caller.send(invite())
         await caller.next()
         caller.close()
@@ -60,7 +60,7 @@
         self.assertLessEqual(peak_kib(self.agent.pid), self.idle_kib + GROWTH_KIB)
 
     async def test_half_messages_of_a_crowd(self) -> None:
-        crowd = [await Peer.dial(self.listen) for _ in range(CROWD)]
+        crowd = [await Peer.connect(self.listen) for _ in range(CROWD)]
         for one in crowd:
             one.send(HALF)
         await self.answered()
@@ -69,7 +69,7 @@
             one.close()
 
     async def test_requests_of_callers_that_never_read(self) -> None:
-        writers = [await Peer.dial(self.listen) for _ in range(WRITERS)]
+        writers = [await Peer.connect(self.listen) for _ in range(WRITERS)]
         for number, one in enumerate(writers):
             for place in range(PIPELINED):
                 one.send(invite(f"{number:08x}{place:08x}"))
@@ -79,7 +79,7 @@
             one.close()
 
     async def test_retries_of_many_callers(self) -> None:
-        caller = await Peer.dial(self.listen)
+        caller = await Peer.connect(self.listen)
         for place in range(RETRIES):
             caller.send(invite(f"{place:016x}"))
             if place % 50 == 49:
--- a/tests/test_last_releases.py
+++ b/tests/test_last_releases.py
@@ -3,14 +3,14 @@
 import asyncio
 
 from seamlb import api
-from seamlb.routing.life import Heard
+from seamlb.routing.life import AttemptUpdate
 from seamlb.routing.model import Outcome
-from tests.loopback import PATIENCE, Peer, ScriptedDesk, Story, bye, invite, plain
+from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, bye, invite, sip_request
 
 ID = "00000000000000a1"
 
 
-class Ends(Story):
+class Ends(DaemonTestCase):
     async def standing(self) -> tuple[ScriptedDesk, Peer]:
         """A call that stands, in a process that closes its listener and its callers' connections at its next look."""
         desk = ScriptedDesk()
@@ -18,9 +18,9 @@
         caller = await self.caller()
         caller.send(invite())
         await caller.until(200)
-        caller.send(plain("ACK", ID))
+        caller.send(sip_request("ACK", ID))
         await desk.until("ACK")
-        await self.eventually(self.daemon.front.reachable)
+        await self.eventually(self.daemon.front.reachable_connections)
         self.daemon.lifecycle.terminate(asyncio.get_running_loop().time() - 1.0)
         return desk, caller
 
@@ -28,7 +28,7 @@
         # Guards the end of a call from being acknowledged to its server and told to nobody.
         desk, caller = await self.standing()
         peer = desk.peers[0]
-        self.daemon.tend()
+        self.daemon.update_connections()
         peer.send(bye(ID, 16))
         with self.assertRaises(EOFError):
             await caller.next()
@@ -51,7 +51,7 @@
         await desk.until("ACK")
         last = max(self.daemon.front.clients, key=lambda one: one.connection.last_read)
         last.connection.in_use = lambda: True  # it stays for a moment, as with bytes unwritten
-        self.daemon.tend()
+        self.daemon.update_connections()
         peer = desk.peers[0]
         peer.send(bye(ID, 16))
         with self.assertRaises(EOFError):
@@ -63,16 +63,16 @@
         # Guards the same release where it came first, and the loop has not come to it.
         desk, caller = await self.standing()
         desk.peers[0].send(bye(ID, 16))
-        self.daemon.tend()
+        self.daemon.update_connections()
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
     async def test_a_release_that_was_read_in_this_turn_is_told_before_the_last_caller_goes(self) -> None:
         # Guards the same release one step on: read and confirmed, and its call's coroutine has not run yet.
         desk, caller = await self.standing()
-        (life,) = self.daemon.agent.lives.values()
-        assert life.attempt
-        life.news.put_nowait(Heard(life.attempt.leg, Outcome(api.Status.OK)))
-        self.daemon.tend()
+        (session,) = self.daemon.agent.sessions.values()
+        assert session.attempt
+        session.inbox.put_nowait(AttemptUpdate(session.attempt.leg, Outcome(api.Status.OK)))
+        self.daemon.update_connections()
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
     async def test_a_release_that_nobody_could_be_told_is_not_confirmed(self) -> None:
@@ -81,13 +81,13 @@
         daemon = await self.start(desk)
         desk.peers[0].send(bye(ID, 16))
         await self.eventually(lambda: daemon.front.releases.pending)
-        desk.peers[0].send(plain("OPTIONS", "t"))  # answered behind the release
-        answer = await asyncio.wait_for(desk.seen.get(), PATIENCE)
+        desk.peers[0].send(sip_request("OPTIONS", "t"))  # answered behind the release
+        answer = await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)
         self.assertEqual((answer.status, answer.cseq()[1]), (200, "OPTIONS"))
         caller = await self.caller()
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await caller.until("BYE")).get("call-id"), ID)
-        confirmed = await asyncio.wait_for(desk.seen.get(), PATIENCE)
+        confirmed = await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)
         self.assertEqual((confirmed.status, confirmed.cseq()[1]), (200, "BYE"))
 
     async def test_a_release_that_waits_for_a_better_connection_is_told_before_the_last_caller_goes(self) -> None:
@@ -95,16 +95,16 @@
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         caller = await self.caller()
-        caller.send(plain("OPTIONS", "t"))
+        caller.send(sip_request("OPTIONS", "t"))
         await caller.until(200)
         desk.peers[0].send(bye(ID, 16))
         await self.eventually(lambda: daemon.front.releases.pending)
         daemon.lifecycle.terminate(asyncio.get_running_loop().time() - 1.0)
-        daemon.tend()
+        daemon.update_connections()
         self.assertEqual((await caller.until("BYE")).get("call-id"), ID)
 
 
-class Deaf(Story):
+class Deaf(DaemonTestCase):
     async def test_a_release_goes_to_a_caller_that_is_known_to_read(self) -> None:
         # Guards the end of a call from a connection whose caller never reads: it is served like any other.
         desk = ScriptedDesk()
@@ -112,10 +112,10 @@
         good, deaf, gone = [await self.caller() for _ in range(3)]
         good.send(invite("00000000000000a2"))
         await good.until(200)
-        good.send(plain("ACK", "00000000000000a2"))
+        good.send(sip_request("ACK", "00000000000000a2"))
         gone.send(invite(ID))
         await gone.until(200)
-        gone.send(plain("ACK", ID))
+        gone.send(sip_request("ACK", ID))
         deaf.send(invite("00000000000000a3"))
         for _ in range(3):
             await desk.until("ACK")
--- a/tests/test_plan_daemon.py
+++ b/tests/test_plan_daemon.py
@@ -11,7 +11,7 @@
 from seamlb.planning.files import load_problem
 from seamlb.planning.plan_files import save_plan
 from seamlb.planning.solve import solve
-from tests.loopback import ScriptedDesk, Story, config, invite
+from tests.loopback import DaemonTestCase, ScriptedDesk, config, invite
 from tests.support import RAW
 
 PROBLEM = """
@@ -46,7 +46,7 @@
 TABLE = '[plan]\nfile = "plan.toml"\nproblem = "problem.toml"\n'
 
 
-class PlanStory(Story):
+class PlanStory(DaemonTestCase):
     """Files in a folder of their own, and an agent between two desks."""
 
     def setUp(self) -> None:
@@ -74,8 +74,8 @@
         self.listed = [self.desk(k, await d.start()) for k, d in enumerate(desks)]
         daemon.agent.list_changed(api.Scope.CACHED, self.listed)
         for place in range(len(desks)):
-            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].told > 0)
-            self.warm(daemon, place)
+            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
+            self.fill_budget(daemon, place)
         return daemon
 
     async def call(self, ident: str) -> None:
@@ -101,8 +101,8 @@
         (self.folder / "plugins.toml").write_text("")
         daemon.reload()
         self.write(first=9)
-        assert daemon.plan.guide is not None
-        self.assertIsNone(daemon.plan.guide.followed)
+        assert daemon.plan.follower is not None
+        self.assertIsNone(daemon.plan.follower.followed)
         self.assertIs(daemon.agent.module.node.settings, daemon.config.settings)
         daemon.reload()
         await self.call("00000000000000a3")
@@ -123,11 +123,11 @@
         ):
             (self.folder / "plan.toml").write_text(text)
             (self.folder / "problem.toml").write_text(problem or PROBLEM.format(first=9))
-            before = daemon.plan.guide.followed if daemon.plan.guide else None
+            before = daemon.plan.follower.followed if daemon.plan.follower else None
             daemon.reload()
             self.assertIn(reason, self.events("reload_failed")[-1]["error"])
-            assert daemon.plan.guide is not None and before is not None
-            self.assertIs(daemon.plan.guide.followed, before)
+            assert daemon.plan.follower is not None and before is not None
+            self.assertIs(daemon.plan.follower.followed, before)
         self.assertEqual(len(self.events("reload_failed")), 5)
         await self.call("00000000000000a1")
         await second.until("INVITE")
@@ -140,7 +140,7 @@
         await self.call("00000000000000a1")
         await first.until("INVITE")
         self.assertEqual(len(self.events("plan_class_unplaced")), 0)  # told with the next step
-        daemon.agent.steer()
+        daemon.agent.apply_steering()
         self.assertEqual(len(self.events("plan_class_unplaced")), 1)
         self.assertEqual(self.events("plan_desks_missing")[-1]["desks"], ["d1"])
 
