--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = ROOT / "docs" / "design" / "capacity.md"
 FILES = [ROOT / "seamlb" / "observations.py", *sorted((ROOT / "seamlb" / "policy").glob("*.py"))]
-CODES = {"PROCESSOR_FULL", "LINES_BUSY", "BEAT"}  # names of the wire and of an alarm, not amounts
+CODES = {"PROCESSOR_FULL", "LINES_BUSY", "STALL_TIMER"}  # names of the wire and of an alarm, not amounts
 
 
 def constants() -> dict[str, tuple[float, ...]]:
