--- a/seamlb/members/__init__.py
+++ b/seamlb/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: instances know each other by gossip, without a central part."""
+"""Membership of the fleet by gossip: instances discover each other without a central component."""
--- a/seamlb/members/command.py
+++ b/seamlb/members/command.py
@@ -1,4 +1,4 @@
-"""`seamlb members`: who is there, as one instance sees it, and datagrams in words."""
+"""`seamlb members`: prints the member list as one instance sees it, and decodes datagrams."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 
 @click.group()
 def members() -> None:
-    """Instances that know each other. Exit code 0: yes, 1: nobody answers, 2: bad use."""
+    """Members of the fleet. Exit code 0: success, 1: no answer, 2: invalid input."""
 
 
-def _lines(told: dict[str, Any]) -> list[str]:
-    head = f"{told['name']}: " + (f"limits divided by {told['divisor']}" if told["joined"] else "not joined yet")
-    head += f", ails {told['health']}" if told.get("health") else ""
-    head += f", ANOTHER PROCESS HAS THIS NAME: {told['twin']}" if told.get("twin") else ""
+def _lines(status: dict[str, Any]) -> list[str]:
+    head = f"{status['name']}: " + (
+        f"limits divided by {status['divisor']}" if status["joined"] else "not joined yet"
+    )
+    head += f", local health score {status['health']}" if status.get("health") else ""
+    head += f", ANOTHER PROCESS USES THIS NAME: {status['twin']}" if status.get("twin") else ""
     return [
         head,
-        *(f"  {one['name']:<24} {one['address']:<21} {one['status']:<8} {one['meta']}" for one in told["members"]),
+        *(f"  {one['name']:<24} {one['address']:<21} {one['status']:<8} {one['meta']}" for one in status["members"]),
     ]
 
 
 @members.command("list")
 @AT
 def show(at: str) -> None:
-    """The members as the agent at this management address sees them."""
+    """Print the members as the agent at this management address sees them."""
     click.echo("\n".join(_lines(ask(at, "GET", "/admin/members")[1])))
 
 
@@ -38,7 +40,7 @@
 @AT
 @click.option("--seconds", type=click.FloatRange(1, 86400), default=3600.0, show_default=True)
 def watch(at: str, seconds: float) -> None:
-    """The same, again whenever it changes."""
+    """Print the members whenever the list changes."""
     end, last = time.monotonic() + seconds, list[str]()
     while time.monotonic() < end:
         lines = _lines(ask(at, "GET", "/admin/members")[1])
@@ -51,17 +53,18 @@
 @members.command("decode")
 @click.argument("digits")
 def read(digits: str) -> None:
-    """A datagram in hex DIGITS, in words; its signature is not checked."""
+    """Decode a datagram given as hex DIGITS; its signature is not checked."""
     try:
-        found = decode(bytes.fromhex(digits), None)
+        datagram = decode(bytes.fromhex(digits), None)
     except (ValueError, DatagramError) as error:
-        click.echo(f"seamlb members: no datagram: {error}", err=True)
+        click.echo(f"seamlb members: invalid datagram: {error}", err=True)
         sys.exit(2)
     click.echo(
-        f"{found.kind.name} of {found.sender} (incarnation {found.incarnation}, count {found.count}, sent "
-        f"{found.sent}), number {found.number}" + (f", of {found.target}" if found.target else "")
+        f"{datagram.kind.name} of {datagram.sender} (incarnation {datagram.incarnation}, "
+        f"count {datagram.counter}, sent {datagram.sent_at}), "
+        f"number {datagram.sequence}" + (f", of {datagram.target}" if datagram.target else "")
     )
-    for one in found.items:
+    for one in datagram.records:
         click.echo(
             f"  {one.name} at {one.address}: {one.status.name.lower()}, incarnation {one.incarnation}, "
             f"meta {one.meta_version} {one.meta!r}"
--- a/seamlb/members/guard.py
+++ b/seamlb/members/guard.py
@@ -1,4 +1,4 @@
-"""Which datagrams of other members are believed: key, clock and replay."""
+"""Authentication of datagrams between members: signing key, clock skew and replay."""
 
 from __future__ import annotations
 
@@ -6,74 +6,82 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from seamlb.members.wire import SAY_EVERY, SENDERS, SKEW, WINDOW, Datagram, DatagramError, decode
+from seamlb.members.wire import (
+    LOG_INTERVAL_S,
+    MAX_CLOCK_SKEW_S,
+    MAX_TRACKED_SENDERS,
+    REPLAY_WINDOW,
+    Datagram,
+    DatagramError,
+    decode,
+)
 
 
 @dataclass(slots=True)
-class _Seen:
-    """Which of one sender's datagrams have come."""
+class _ReplayWindow:
+    """Which of one sender's datagrams have been received."""
 
-    last: int = -1
-    late: set[int] = field(default_factory=set)  # counts below `last` that have come, within WINDOW
+    highest: int = -1
+    lower: set[int] = field(default_factory=set)  # received counters below `highest`, within REPLAY_WINDOW
 
 
-class Guard:
-    """Signs what goes out and takes what comes in, once."""
+class DatagramAuthenticator:
+    """Signs outgoing datagrams; verifies incoming ones and accepts each of them once."""
 
-    def __init__(self, keys: Mapping[int, bytes], sends: int, clock: float) -> None:
-        self.count = int(clock * 1e6)  # above all that a process before this one has sent
-        self.seen: dict[tuple[str, str], _Seen] = {}
+    def __init__(self, keys: Mapping[int, bytes], signing_key: int, clock: float) -> None:
+        self.counter = int(clock * 1e6)  # Unix us of the start: above all counters of an earlier process
+        self.windows: dict[tuple[str, str], _ReplayWindow] = {}
         self.dropped: Counter[str] = Counter()
-        self.said: dict[str, float] = {}
-        self.news: list[str] = []  # reasons that are due to be logged
-        self.rotate_keys(keys, sends)
+        self.last_logged: dict[str, float] = {}
+        self.unlogged_reasons: list[str] = []  # drop reasons that are due for a log line
+        self.rotate_keys(keys, signing_key)
 
-    def rotate_keys(self, keys: Mapping[int, bytes], sends: int) -> None:
-        """Other keys from now on: all of them are taken, one signs."""
-        if sends not in keys:
-            raise ValueError(f"no key {sends} to send with")
-        self.keys, self.sends = dict(keys), sends
+    def rotate_keys(self, keys: Mapping[int, bytes], signing_key: int) -> None:
+        """Replace the keys: all of them are accepted, `signing_key` signs."""
+        if signing_key not in keys:
+            raise ValueError(f"no key {signing_key} to sign with")
+        self.keys, self.signing_key = dict(keys), signing_key
 
     def seal(self, message: Datagram, clock: float) -> bytes:
-        """A message's bytes; `clock` is Unix seconds."""
-        self.count += 1
-        told = Datagram(
+        """Add counter and time (`clock`, Unix seconds) to a message and return its signed bytes."""
+        self.counter += 1
+        stamped = Datagram(
             message.kind,
             message.sender,
             message.incarnation,
-            message.number,
+            message.sequence,
             message.target,
-            message.items,
-            self.count,
+            message.records,
+            self.counter,
             int(clock),
         )
-        return told.encode(self.sends, self.keys[self.sends])
+        return stamped.encode(self.signing_key, self.keys[self.signing_key])
 
     def open(self, data: bytes, address: str, clock: float) -> Datagram | None:
-        """A datagram that may be believed; None: it was counted and dropped."""
+        """Verify and decode a datagram from `address`; None if it was dropped, which is counted by reason."""
         try:
             message = decode(data, self.keys)
-            if abs(clock - message.sent) > SKEW:
+            if abs(clock - message.sent_at) > MAX_CLOCK_SKEW_S:
                 raise DatagramError("clock")
-            self._once(message, address)
+            self._reject_replay(message, address)
             return message
-        except DatagramError as bad:
-            reason = str(bad)
+        except DatagramError as error:
+            reason = str(error)
             self.dropped[reason] += 1
-            if clock - self.said.get(reason, -SAY_EVERY) >= SAY_EVERY:
-                self.said[reason] = clock
-                self.news.append(reason)
+            if clock - self.last_logged.get(reason, -LOG_INTERVAL_S) >= LOG_INTERVAL_S:
+                self.last_logged[reason] = clock
+                self.unlogged_reasons.append(reason)
             return None
 
-    def _once(self, message: Datagram, address: str) -> None:
-        seen = self.seen.setdefault((message.sender, address), _Seen())
-        while len(self.seen) > SENDERS:
-            del self.seen[next(iter(self.seen))]
-        count = message.count
-        if count <= seen.last - WINDOW or count == seen.last or count in seen.late:
+    def _reject_replay(self, message: Datagram, address: str) -> None:
+        window = self.windows.setdefault((message.sender, address), _ReplayWindow())
+        while len(self.windows) > MAX_TRACKED_SENDERS:
+            del self.windows[next(iter(self.windows))]
+        counter = message.counter
+        if counter <= window.highest - REPLAY_WINDOW or counter == window.highest or counter in window.lower:
             raise DatagramError("replayed")
-        if count > seen.last:
-            seen.late = {one for one in (*seen.late, seen.last) if one > count - WINDOW}
-            seen.last = count
+        if counter > window.highest:
+            window.lower = {one for one in (*window.lower, window.highest) if one > counter - REPLAY_WINDOW}
+            window.highest = counter
         else:
-            seen.late.add(count)
+            window.lower.add(counter)
--- a/seamlb/members/shares.py
+++ b/seamlb/members/shares.py
@@ -1,36 +1,39 @@
-"""By how many instances a fleet-wide limit is divided: the living, and more wherever that is in doubt. Pure."""
+"""The number of instances by which fleet-wide limits are divided: those alive, and more while that is uncertain.
+
+Does no I/O.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
-HOLD = 10.0  # seconds for which who was alive still counts
+HOLD_S = 10.0  # for which an earlier, larger number of alive instances still counts
 
 
-class Shares:
-    """Follows the living; `configured` is how many instances the settings name.
+class LimitDivisor:
+    """Tracks how many instances are alive; `configured` is the number of instances in the settings.
 
-    Each instance takes one part in `divisor`. All parts together stay at or under the whole while everybody sees the
-    same, whoever joins: a newcomer counts as soon as it is heard of, one who is gone counts for HOLD more. Those who
-    see half of the configured or fewer can't tell a death from a partition: they keep the configured part, and so
-    does a process that has only begun to hear of others. So in a partition the larger side's parts make one whole,
-    the smaller side's less than half of one.
+    Each instance takes 1/divisor of a limit. While all instances have the same view, the parts add up to at most the
+    whole limit, also during joins: a new instance counts as soon as it is discovered, one that has gone counts for
+    HOLD_S longer. An instance that sees half of the configured number or fewer can't tell failures from a partition
+    and uses the configured number, as does one that has just started and has not discovered the others. So in a
+    partition the parts of the larger side add up to one limit, those of the smaller side to less than half of it.
     """
 
     def __init__(self, configured: int) -> None:
         self.configured = max(1, configured)
-        self.heard: deque[tuple[float, int]] = deque()
-
-    def told(self, now: float, living: int) -> int:
-        """So many are alive, ourselves included; the number to divide by."""
-        if not self.heard:
-            self.heard.append((now, max(living, self.configured)))
-        while self.heard and self.heard[0][0] < now - HOLD:
-            self.heard.popleft()
-        while self.heard and self.heard[-1][1] <= living:
-            self.heard.pop()  # a smaller count before this one can be the largest no more
-        self.heard.append((now, living))
-        most = self.heard[0][1]
-        if 2 * most <= self.configured:
+        self.peaks: deque[tuple[float, int]] = deque()  # (time in s, alive), sliding-window maximum: counts fall
+
+    def update(self, now: float, alive: int) -> int:
+        """Take the number of alive instances, including this one, at `now` (s); returns the divisor."""
+        if not self.peaks:
+            self.peaks.append((now, max(alive, self.configured)))
+        while self.peaks and self.peaks[0][0] < now - HOLD_S:
+            self.peaks.popleft()
+        while self.peaks and self.peaks[-1][1] <= alive:
+            self.peaks.pop()  # an earlier and smaller count can't be the maximum again
+        self.peaks.append((now, alive))
+        largest = self.peaks[0][1]
+        if 2 * largest <= self.configured:
             return self.configured
-        return most
+        return largest
--- a/seamlb/members/swim.py
+++ b/seamlb/members/swim.py
@@ -1,7 +1,7 @@
-"""Who is alive: probes, suspicion and gossip in the SWIM family (Das, Gupta, Motivala 2002), with local health.
+"""Failure detection and dissemination of the SWIM family (Das, Gupta, Motivala 2002), with a local health score.
 
-Pure: time is seconds given in, randomness a seed; messages come back as (address, message) and whoever carries them
-may lose, double, delay or reorder them. docs/design/members.md says what was taken from which variant.
+Does no I/O: callers pass in the time (seconds) and a random generator, and send the (address, message) pairs that are
+returned, over a network that may lose, duplicate, delay or reorder. docs/design/members.md: which part is from where.
 """
 
 from __future__ import annotations
@@ -11,384 +11,384 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from seamlb.members.wire import META_MOST, Datagram, Item, Kind, Status
-
-PERIOD = 1.0  # seconds between two probes of ours
-DIRECT = 0.3  # of a probe's time, after which it is asked again and others are asked to try, and so once more
-TRIES = 2  # how often
-HELPERS = 3  # whom we ask
-SUSPICION = 6.0  # periods times log10 of the fleet's size, before who is suspected counts as dead
-ASKERS = 10  # how many of those who hear of a suspicion ask the suspect next
-SPREAD = 3.0  # times log2 of the fleet's size: how often word of one instance is passed on
-HEALTH_MOST = 8  # the slower we are ourselves, the longer we wait for others: so many times more at most
-STALL = 2.0  # seconds between two looks at the clock that tell of a stall of ours
-KNOCK = 3.0  # seconds between two words to one who is dead or a seed, which heal a partition
-HURRY = 0.25  # the same while we know nobody
-SYNC = 5.0  # seconds between two exchanges of a part of the list with somebody
-JOINING = 5.0  # seconds after a start in which we ask for parts of the list every HURRY,
-JOINED = 60.0  # and at most, while somebody new was heard of within GREW
-GREW = 2.0
-TOMB = 300.0  # seconds for which the dead are remembered
-TOMBS = 256  # dead that are remembered at most
-TWIN = 30.0  # seconds for which a second process with our name is believed in
-STALE = 1.0  # seconds over which an old process with a name must be heard to be no late datagram
-
-Out = list[tuple[str, Datagram]]
+from seamlb.members.wire import MAX_META_BYTES, Datagram, Kind, Record, Status
+
+PERIOD_S = 1.0  # between two probes by this instance
+RETRY_SHARE = 0.3  # of the probe timeout, between the ping and each retry
+MAX_PROBE_RETRIES = 2  # each pings the target again and asks others to ping it
+INDIRECT_PROBES = 3  # members that are asked to ping the target
+SUSPICION_PERIODS = 6.0  # probe periods, times log10 of the group size, from suspicion to death
+SUSPECT_PROBERS = 10  # expected number of members that probe a suspect next when they learn of the suspicion
+RETRANSMIT_FACTOR = 3.0  # times log2 of the group size: how often a member's record is piggybacked
+MAX_HEALTH = 8  # highest local health score; timeouts are multiplied by 1 + score
+STALL_S = 2.0  # between two ticks: from here on this process counts as stalled
+RECONNECT_INTERVAL_S = 3.0  # between two pings to a dead member or a seed, which heal a partition
+JOIN_INTERVAL_S = 0.25  # between two such pings while no peer is alive, and between two syncs while joining
+SYNC_INTERVAL_S = 5.0  # mean time between two exchanges of records with a random peer
+JOIN_PHASE_S = 5.0  # after a start: sync every JOIN_INTERVAL_S
+MAX_JOIN_PHASE_S = 60.0  # the same, as long as a new member was discovered within GROWTH_WINDOW_S
+GROWTH_WINDOW_S = 2.0
+DEAD_RETENTION_S = 300.0  # for which the records of dead members are kept
+MAX_DEAD_MEMBERS = 256  # records of dead members that are kept
+DUPLICATE_TTL_S = 30.0  # for which a report of a second process with this name counts
+CONFLICT_CONFIRM_S = 1.0  # an older process must be heard for so long: a single datagram may only be delayed
+
+Outgoing = list[tuple[str, Datagram]]
 
 
 @dataclass(slots=True)
 class Member:
-    """What is believed of one instance."""
+    """Another instance's latest record."""
 
-    item: Item
-    since: float  # of its status
-    dead_at: float = math.inf  # when suspicion ends
+    record: Record
+    since: float  # when the status was set, s
+    expiry: float = math.inf  # when a suspicion expires, s
 
 
 @dataclass(slots=True)
 class Probe:
-    """A question that is out."""
+    """The probe in flight; times in seconds."""
 
     target: str
-    number: int
-    ask_at: float
-    over_at: float
-    asked: int = 0  # how often others were
+    sequence: int
+    retry_at: float
+    deadline: float
+    retries: int = 0
 
 
 @dataclass(slots=True)
 class Relay:
-    """A probe that is somebody else's."""
+    """A ping sent on behalf of another member."""
 
-    asker: str  # address
-    number: int
+    requester: str  # address
+    sequence: int  # of the request
     target: str
-    until: float
+    expires_at: float  # s
 
 
 @dataclass(slots=True)
 class Swim:
-    """One instance's view of all."""
+    """One instance's view of the group."""
 
     name: str
     address: str
     seeds: Sequence[str]
-    incarnation: int  # Unix milliseconds of the start: a name's next process is above all that it ever had
+    incarnation: int  # Unix ms of the start, so that it rises over restarts under one name
     rng: random.Random
-    now: float
-    members: dict[str, Member] = field(default_factory=dict)  # the others
+    now: float  # s
+    members: dict[str, Member] = field(default_factory=dict)  # the other instances by name
     meta: bytes = b""
     meta_version: int = 0
-    health: int = 0  # 0: well
-    twin: tuple[str, float] = ("", -math.inf)  # address of another process with our name, and when it was heard of
-    pending_events: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # log lines that are due
+    health: int = 0  # local health score: 0 is healthy, higher is slower
+    duplicate: tuple[str, float] = ("", -math.inf)  # another process with this name: address, last report (s)
+    pending_events: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # to be logged
     left: bool = False
     probe: Probe | None = None
-    ring: list[str] = field(default_factory=list)
-    relays: dict[int, Relay] = field(default_factory=dict)
-    news: dict[str, int] = field(default_factory=dict)  # whose word is passed on, and how often it was
-    stale: dict[tuple[str, str], float] = field(default_factory=dict)
-    numbers: int = 0
+    probe_order: list[str] = field(default_factory=list)  # probed from the end
+    relays: dict[int, Relay] = field(default_factory=dict)  # by sequence number of the relayed ping
+    broadcasts: dict[str, int] = field(default_factory=dict)  # names of records to piggyback -> times sent
+    conflicts: dict[tuple[str, str], float] = field(default_factory=dict)  # (name, address) -> first seen (s)
+    last_sequence: int = 0
     next_probe: float = 0.0
-    next_knock: float = 0.0
+    next_reconnect: float = 0.0
     next_sync: float = 0.0
-    began: float = 0.0
-    grew: float = -math.inf  # when somebody new was heard of
+    started_at: float = 0.0
+    last_growth: float = -math.inf  # when a new member was last discovered
 
     def __post_init__(self) -> None:
-        self.began = self.now
-        self.next_probe = self.now + self.rng.random() * PERIOD  # not all at the same moment
-        self.next_sync = self.now + self.rng.random() * HURRY
-        self.news[self.name] = 0
+        self.started_at = self.now
+        self.next_probe = self.now + self.rng.random() * PERIOD_S  # spread over instances started together
+        self.next_sync = self.now + self.rng.random() * JOIN_INTERVAL_S
+        self.broadcasts[self.name] = 0
 
-    # -- what follows -------------------------------------------------------------------------
+    # -- view of the group --------------------------------------------------------------------
 
     @property
-    def own(self) -> Item:
-        """Word of ourselves."""
+    def own(self) -> Record:
+        """This instance's own record."""
         status = Status.LEFT if self.left else Status.ALIVE
-        return Item(self.name, self.address, self.incarnation, status, self.meta_version, self.meta)
+        return Record(self.name, self.address, self.incarnation, status, self.meta_version, self.meta)
 
-    def living(self) -> list[str]:
-        """Who is not known to be gone, ourselves included: who is suspected counts as alive."""
-        found = [name for name, one in self.members.items() if one.item.status <= Status.SUSPECT]
+    def alive_names(self) -> list[str]:
+        """Sorted names of members that are alive or suspected, with this instance unless it has left."""
+        found = [name for name, one in self.members.items() if one.record.status <= Status.SUSPECT]
         return sorted([*found, self.name] if not self.left else found)
 
     @property
-    def twinned(self) -> bool:
-        """Has another process our name? Then neither may serve a duty."""
-        return self.now - self.twin[1] < TWIN
+    def has_duplicate(self) -> bool:
+        """Whether another process uses this name; then neither may perform singleton duties."""
+        return self.now - self.duplicate[1] < DUPLICATE_TTL_S
 
-    def _size(self) -> int:
-        return 1 + sum(one.item.status <= Status.SUSPECT for one in self.members.values())
+    def _group_size(self) -> int:
+        return 1 + sum(one.record.status <= Status.SUSPECT for one in self.members.values())
 
-    # -- what we say of ourselves -------------------------------------------------------------
+    # -- this instance's own state ------------------------------------------------------------
 
     def set_metadata(self, meta: bytes) -> None:
-        """What the others are to know of us, META_MOST bytes at most."""
-        if len(meta) > META_MOST:
-            raise ValueError("more than a datagram holds")
+        """Publish metadata of at most MAX_META_BYTES with this instance's record."""
+        if len(meta) > MAX_META_BYTES:
+            raise ValueError("metadata exceeds the maximum size")
         if meta != self.meta:
             self.meta, self.meta_version = meta, (self.meta_version + 1) & 0xFFFF
-            self.news[self.name] = 0
+            self.broadcasts[self.name] = 0
 
-    def leave(self, now: float) -> Out:
-        """Say that we go; what comes back is to be sent before the process ends."""
+    def leave(self, now: float) -> Outgoing:
+        """Announce a graceful leave; the returned messages must be sent before the process exits."""
         self.now, self.left = now, True
-        self.news[self.name] = 0
-        near = self.rng.sample(self._living(), min(HELPERS * 2, len(self._living())))
-        return [self._send(self.members[name].item.address, Kind.SYNC) for name in near]
+        self.broadcasts[self.name] = 0
+        recipients = self.rng.sample(self._alive_peers(), min(INDIRECT_PROBES * 2, len(self._alive_peers())))
+        return [self._message(self.members[name].record.address, Kind.SYNC) for name in recipients]
 
-    # -- time ---------------------------------------------------------------------------------
+    # -- timers -------------------------------------------------------------------------------
 
-    def tick(self, now: float) -> Out:
-        """Time has passed; call it ten times a second."""
-        stalled, self.now = now - self.now > STALL, now
+    def tick(self, now: float) -> Outgoing:
+        """Run all timers; to be called ten times a second."""
+        stalled, self.now = now - self.now > STALL_S, now
         if self.left:
             return []
-        out: Out = []
+        out: Outgoing = []
         if stalled:
-            # What we did not hear meanwhile is our own fault: nobody is accused of it.
-            self._ail(2)
+            # Messages were missed because this process stalled, so no other member is suspected for it.
+            self._degrade_health(2)
             self.probe = None
             for one in self.members.values():
-                one.dead_at = max(one.dead_at, now + PERIOD * 2) if one.item.status == Status.SUSPECT else math.inf
-        self.relays = {number: one for number, one in self.relays.items() if one.until > now}
+                one.expiry = max(one.expiry, now + PERIOD_S * 2) if one.record.status == Status.SUSPECT else math.inf
+        self.relays = {sequence: one for sequence, one in self.relays.items() if one.expires_at > now}
         for name, one in list(self.members.items()):
-            if one.item.status == Status.SUSPECT and now >= one.dead_at:
-                self._believe(_with(one.item, Status.DEAD))
-            elif one.item.status >= Status.DEAD and now - one.since > TOMB:
+            if one.record.status == Status.SUSPECT and now >= one.expiry:
+                self._apply_record(_with_status(one.record, Status.DEAD))
+            elif one.record.status >= Status.DEAD and now - one.since > DEAD_RETENTION_S:
                 del self.members[name]
-        self._bury()
-        out += self._probe()
-        if now >= self.next_knock:
-            out += self._knock()
+        self._prune_dead()
+        out += self._step_probe()
+        if now >= self.next_reconnect:
+            out += self._reconnect()
         if now >= self.next_sync:
-            out += self._sync()
+            out += self._start_sync()
         return out
 
-    def _probe(self) -> Out:
-        now, probe, out = self.now, self.probe, Out()
-        if probe and probe.asked < TRIES and now >= probe.ask_at:
-            # A loss of a few in a hundred must accuse nobody: word of each suspicion goes round the whole fleet.
-            probe.asked += 1
-            probe.ask_at += PERIOD * DIRECT * (1 + self.health)
+    def _step_probe(self) -> Outgoing:
+        now, probe, out = self.now, self.probe, Outgoing()
+        if probe and probe.retries < MAX_PROBE_RETRIES and now >= probe.retry_at:
+            # A packet loss of a few per cent must cause no suspicion: each one is disseminated to the whole group.
+            probe.retries += 1
+            probe.retry_at += PERIOD_S * RETRY_SHARE * (1 + self.health)
             if member := self.members.get(probe.target):
-                out.append(self._send(member.item.address, Kind.PING, probe.number, probe.target))
-            helpers = [name for name in self._living() if name != probe.target]
-            for name in self.rng.sample(helpers, min(HELPERS, len(helpers))):
-                out.append(self._send(self.members[name].item.address, Kind.ASK, probe.number, probe.target))
-        if probe and now >= probe.over_at:
+                out.append(self._message(member.record.address, Kind.PING, probe.sequence, probe.target))
+            helpers = [name for name in self._alive_peers() if name != probe.target]
+            for name in self.rng.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
+                out.append(self._message(self.members[name].record.address, Kind.ASK, probe.sequence, probe.target))
+        if probe and now >= probe.deadline:
             self.probe = None
-            self._ail(1)  # perhaps it is us
+            self._degrade_health(1)  # the fault may be on this side
             member = self.members.get(probe.target)
-            if member and member.item.status == Status.ALIVE:
-                self._believe(_with(member.item, Status.SUSPECT))
+            if member and member.record.status == Status.ALIVE:
+                self._apply_record(_with_status(member.record, Status.SUSPECT))
         if self.probe is None and now >= self.next_probe:
-            self.next_probe = now + PERIOD
-            if target := self._next():
-                slow = 1 + self.health
-                number = self._number()
-                self.probe = Probe(target, number, now + PERIOD * DIRECT * slow, now + PERIOD * slow)
-                item = self.members[target].item
-                # Who is suspected is told so first: it can say no at once.
-                first = (item,) if item.status == Status.SUSPECT else ()
-                out.append(self._send(item.address, Kind.PING, number, target, first=first))
+            self.next_probe = now + PERIOD_S
+            if target := self._next_target():
+                scale = 1 + self.health
+                sequence = self._next_sequence()
+                self.probe = Probe(target, sequence, now + PERIOD_S * RETRY_SHARE * scale, now + PERIOD_S * scale)
+                record = self.members[target].record
+                # A suspect gets its own record with the ping, so that it can refute the suspicion at once.
+                priority = (record,) if record.status == Status.SUSPECT else ()
+                out.append(self._message(record.address, Kind.PING, sequence, target, priority=priority))
         return out
 
-    def _next(self) -> str:
-        """Whom to probe: everybody once in a round, in an order of our own."""
-        while self.ring:
-            name = self.ring.pop()
-            if name in self.members and self.members[name].item.status <= Status.SUSPECT:
+    def _next_target(self) -> str:
+        """The next member to probe: each one once per round, in an order shuffled by this instance; or ""."""
+        while self.probe_order:
+            name = self.probe_order.pop()
+            if name in self.members and self.members[name].record.status <= Status.SUSPECT:
                 return name
-        self.ring = self._living()
-        self.rng.shuffle(self.ring)
-        return self.ring.pop() if self.ring else ""
-
-    def _knock(self) -> Out:
-        """A word to somebody who is dead, or to a seed: if it was a partition, both sides learn of each other."""
-        alone = not self._living()
-        self.next_knock = self.now + (HURRY if alone else KNOCK)
-        known = {one.item.address for one in self.members.values() if one.item.status <= Status.SUSPECT}
-        doors = [one.item.address for one in self.members.values() if one.item.status == Status.DEAD]
-        doors += [one for one in self.seeds if one != self.address and one not in known]
-        return [self._send(self.rng.choice(doors), Kind.PING, self._number())] if doors else []
-
-    def _sync(self) -> Out:
-        """Give a part of the list to somebody, who gives a part of its own: what gossip lost comes round."""
-        age = self.now - self.began
-        joining = age < JOINING or (age < JOINED and self.now - self.grew < GREW)
-        self.next_sync = self.now + (HURRY if joining else SYNC * (0.5 + self.rng.random()))
-        living = self._living()
-        if not living:
+        self.probe_order = self._alive_peers()
+        self.rng.shuffle(self.probe_order)
+        return self.probe_order.pop() if self.probe_order else ""
+
+    def _reconnect(self) -> Outgoing:
+        """Ping a dead member or a seed: after a partition, this merges both sides again."""
+        isolated = not self._alive_peers()
+        self.next_reconnect = self.now + (JOIN_INTERVAL_S if isolated else RECONNECT_INTERVAL_S)
+        known = {one.record.address for one in self.members.values() if one.record.status <= Status.SUSPECT}
+        targets = [one.record.address for one in self.members.values() if one.record.status == Status.DEAD]
+        targets += [one for one in self.seeds if one != self.address and one not in known]
+        return [self._message(self.rng.choice(targets), Kind.PING, self._next_sequence())] if targets else []
+
+    def _start_sync(self) -> Outgoing:
+        """Exchange a sample of records with a random peer: anti-entropy for updates that gossip has lost."""
+        age = self.now - self.started_at
+        joining = age < JOIN_PHASE_S or (age < MAX_JOIN_PHASE_S and self.now - self.last_growth < GROWTH_WINDOW_S)
+        self.next_sync = self.now + (JOIN_INTERVAL_S if joining else SYNC_INTERVAL_S * (0.5 + self.rng.random()))
+        peers = self._alive_peers()
+        if not peers:
             return []
-        return [self._send(self.members[self.rng.choice(living)].item.address, Kind.SYNC, 1, some=True)]
+        return [self._message(self.members[self.rng.choice(peers)].record.address, Kind.SYNC, 1, sample=True)]
 
-    def _bury(self) -> None:
-        dead = [name for name, one in self.members.items() if one.item.status >= Status.DEAD]
-        for name in sorted(dead, key=lambda name: self.members[name].since)[: max(0, len(dead) - TOMBS)]:
+    def _prune_dead(self) -> None:
+        dead = [name for name, one in self.members.items() if one.record.status >= Status.DEAD]
+        for name in sorted(dead, key=lambda name: self.members[name].since)[: max(0, len(dead) - MAX_DEAD_MEMBERS)]:
             del self.members[name]
 
     # -- messages -----------------------------------------------------------------------------
 
-    def received(self, now: float, address: str, message: Datagram) -> Out:
-        """A message that may be believed, from an address."""
-        self.now = max(self.now, now) if now - self.now <= STALL else self.now  # a stall is for `tick` to find
+    def received(self, now: float, address: str, message: Datagram) -> Outgoing:
+        """Handle an authenticated message from an address; returns the messages to send."""
+        self.now = max(self.now, now) if now - self.now <= STALL_S else self.now  # `tick` must detect the stall
         if self.left:
             return []
-        out = self._met(address, message)
-        for item in message.items:
-            self._hear(item)
+        out = self._note_sender(address, message)
+        for record in message.records:
+            self._merge_record(record)
         match message.kind:
             case Kind.PING:
-                out.append(self._send(address, Kind.ACK, message.number, self.name))
+                out.append(self._message(address, Kind.ACK, message.sequence, self.name))
             case Kind.ASK:
                 if member := self.members.get(message.target):
-                    number = self._number()
-                    self.relays[number] = Relay(address, message.number, message.target, self.now + 2 * PERIOD)
-                    out.append(self._send(member.item.address, Kind.PING, number, message.target))
+                    sequence = self._next_sequence()
+                    self.relays[sequence] = Relay(address, message.sequence, message.target, self.now + 2 * PERIOD_S)
+                    out.append(self._message(member.record.address, Kind.PING, sequence, message.target))
             case Kind.ACK:
-                if self.probe and (self.probe.number, self.probe.target) == (message.number, message.target):
+                if self.probe and (self.probe.sequence, self.probe.target) == (message.sequence, message.target):
                     self.probe = None
                     self.health = max(0, self.health - 1)
-                elif relay := self.relays.pop(message.number, None):
-                    out.append(self._send(relay.asker, Kind.ACK, relay.number, relay.target))
+                elif relay := self.relays.pop(message.sequence, None):
+                    out.append(self._message(relay.requester, Kind.ACK, relay.sequence, relay.target))
             case Kind.SYNC:
-                if message.number:
-                    out.append(self._send(address, Kind.SYNC, 0, some=True))
+                if message.sequence:
+                    out.append(self._message(address, Kind.SYNC, 0, sample=True))
             case Kind.CONFLICT:
-                for item in message.items:
-                    if item.name == self.name and item.address != self.address:
-                        if not self.twinned:
-                            self.pending_events.append(("member_twin", {"address": item.address}))
-                        self.twin = item.address, self.now
+                for record in message.records:
+                    if record.name == self.name and record.address != self.address:
+                        if not self.has_duplicate:
+                            self.pending_events.append(("member_twin", {"address": record.address}))
+                        self.duplicate = record.address, self.now
         return out
 
-    def _met(self, address: str, message: Datagram) -> Out:
-        """Who speaks lives: news only of somebody new or come back, as the rest is for word of its own."""
+    def _note_sender(self, address: str, message: Datagram) -> Outgoing:
+        """Take a message as proof that its sender is alive; only a new member or incarnation changes its record."""
         if message.sender == self.name:
             return []
         known = self.members.get(message.sender)
-        if known is None or message.incarnation > known.item.incarnation:
-            version, meta = (known.item.meta_version, known.item.meta) if known else (0, b"")
-            self._believe(Item(message.sender, address, message.incarnation, Status.ALIVE, version, meta))
+        if known is None or message.incarnation > known.record.incarnation:
+            version, meta = (known.record.meta_version, known.record.meta) if known else (0, b"")
+            self._apply_record(Record(message.sender, address, message.incarnation, Status.ALIVE, version, meta))
             return []
-        if known.item.status != Status.ALIVE:
-            # It does not know what is said of it: told directly, it can say no.
-            return [self._send(address, Kind.SYNC, first=(known.item,))]
-        if known.item.address != address and message.incarnation < known.item.incarnation:
-            return self._twins(known.item, address, message.incarnation)
+        if known.record.status != Status.ALIVE:
+            # The sender may not know that it is suspected or dead here: its record lets it refute that.
+            return [self._message(address, Kind.SYNC, priority=(known.record,))]
+        if known.record.address != address and message.incarnation < known.record.incarnation:
+            return self._report_conflict(known.record, address, message.incarnation)
         return []
 
-    def _twins(self, item: Item, address: str, incarnation: int) -> Out:
-        """An older process of a name speaks beside the one that is known: both are told of each other."""
-        self.stale = {key: at for key, at in self.stale.items() if self.now - at < TWIN}
-        first = self.stale.setdefault((item.name, address), self.now)
-        if self.now - first < STALE:
+    def _report_conflict(self, record: Record, address: str, incarnation: int) -> Outgoing:
+        """An older process still sends under a known member's name: report each of the two to the other."""
+        self.conflicts = {key: at for key, at in self.conflicts.items() if self.now - at < DUPLICATE_TTL_S}
+        first = self.conflicts.setdefault((record.name, address), self.now)
+        if self.now - first < CONFLICT_CONFIRM_S:
             return []
-        other = Item(item.name, address, incarnation, Status.ALIVE)
+        other = Record(record.name, address, incarnation, Status.ALIVE)
         return [
-            self._send(address, Kind.CONFLICT, first=(item,)),
-            self._send(item.address, Kind.CONFLICT, first=(other,)),
+            self._message(address, Kind.CONFLICT, priority=(record,)),
+            self._message(record.address, Kind.CONFLICT, priority=(other,)),
         ]
 
-    def _hear(self, item: Item) -> None:
-        """Word of somebody, from anybody."""
-        if item.name != self.name:
-            return self._believe(item)
-        if item.address != self.address and item.incarnation < self.incarnation:
-            return  # what we were before
-        if item.status != Status.ALIVE and item.incarnation >= self.incarnation:
-            self.incarnation = item.incarnation + 1
-            self.news[self.name] = 0
-            self._ail(1)
-            self.pending_events.append(("member_refuted", {"status": item.status.name.lower()}))
-
-    def _believe(self, item: Item) -> None:
-        """Take word of another instance, if it is newer than what is known."""
-        known = self.members.get(item.name)
+    def _merge_record(self, record: Record) -> None:
+        """Handle a record from a message; a wrong one of this instance is refuted with a higher incarnation."""
+        if record.name != self.name:
+            return self._apply_record(record)
+        if record.address != self.address and record.incarnation < self.incarnation:
+            return  # an earlier process with this name
+        if record.status != Status.ALIVE and record.incarnation >= self.incarnation:
+            self.incarnation = record.incarnation + 1
+            self.broadcasts[self.name] = 0
+            self._degrade_health(1)
+            self.pending_events.append(("member_refuted", {"status": record.status.name.lower()}))
+
+    def _apply_record(self, new: Record) -> None:
+        """Accept another member's record if it is newer than the known one."""
+        known = self.members.get(new.name)
         if known is not None:
-            was = known.item
-            newer = (item.incarnation, item.status) > (was.incarnation, was.status)
+            old = known.record
+            newer = (new.incarnation, new.status) > (old.incarnation, old.status)
             fresher = (
-                item.incarnation == was.incarnation and 0 < (item.meta_version - was.meta_version) & 0xFFFF < 0x8000
+                new.incarnation == old.incarnation and 0 < (new.meta_version - old.meta_version) & 0xFFFF < 0x8000
             )
             if not newer and not fresher:
                 return
             if not newer:
-                item = _with(item, was.status)
-            elif not fresher and item.incarnation == was.incarnation:
-                item = Item(item.name, item.address, item.incarnation, item.status, was.meta_version, was.meta)
-        elif item.status >= Status.DEAD:
-            return  # nothing to bury
-        changed = known is None or known.item.status != item.status
-        alive_again = known is not None and known.item.status >= Status.DEAD and item.status <= Status.SUSPECT
+                new = _with_status(new, old.status)
+            elif not fresher and new.incarnation == old.incarnation:
+                new = Record(new.name, new.address, new.incarnation, new.status, old.meta_version, old.meta)
+        elif new.status >= Status.DEAD:
+            return  # dead members that were never known are ignored
+        changed = known is None or known.record.status != new.status
+        alive_again = known is not None and known.record.status >= Status.DEAD and new.status <= Status.SUSPECT
         if known is None or changed:
-            self.members[item.name] = Member(item, self.now)
+            self.members[new.name] = Member(new, self.now)
         else:
-            known.item = item
-        member = self.members[item.name]
-        if item.status == Status.SUSPECT and changed:
-            member.dead_at = self.now + SUSPICION * PERIOD * max(1.0, math.log10(self._size()))
-            if self.rng.random() * self._size() < ASKERS:
-                self.ring.append(item.name)  # the next one that we probe: it has to hear of it to say no
-        self.news[item.name] = 0
+            known.record = new
+        member = self.members[new.name]
+        if new.status == Status.SUSPECT and changed:
+            member.expiry = self.now + SUSPICION_PERIODS * PERIOD_S * max(1.0, math.log10(self._group_size()))
+            if self.rng.random() * self._group_size() < SUSPECT_PROBERS:
+                self.probe_order.append(new.name)  # probed next: it must learn of the suspicion to refute it
+        self.broadcasts[new.name] = 0
         if known is None:
-            self.grew = self.now
+            self.last_growth = self.now
         if known is None or alive_again:
-            self.pending_events.append(("member_joined", {"name": item.name, "address": item.address}))
-        elif changed and item.status >= Status.SUSPECT:
-            self.pending_events.append((f"member_{item.status.name.lower()}", {"name": item.name}))
+            self.pending_events.append(("member_joined", {"name": new.name, "address": new.address}))
+        elif changed and new.status >= Status.SUSPECT:
+            self.pending_events.append((f"member_{new.status.name.lower()}", {"name": new.name}))
 
     # -- sending ------------------------------------------------------------------------------
 
-    def _living(self) -> list[str]:
-        return [name for name, one in self.members.items() if one.item.status <= Status.SUSPECT]
+    def _alive_peers(self) -> list[str]:
+        return [name for name, one in self.members.items() if one.record.status <= Status.SUSPECT]
 
-    def _ail(self, more: int) -> None:
-        self.health = min(HEALTH_MOST, self.health + more)
+    def _degrade_health(self, penalty: int) -> None:
+        self.health = min(MAX_HEALTH, self.health + penalty)
 
-    def _number(self) -> int:
-        self.numbers = (self.numbers + 1) & 0x7FFFFFFF
-        return self.numbers
+    def _next_sequence(self) -> int:
+        self.last_sequence = (self.last_sequence + 1) & 0x7FFFFFFF
+        return self.last_sequence
 
-    def _send(
+    def _message(
         self,
         address: str,
         kind: Kind,
-        number: int = 0,
+        sequence: int = 0,
         target: str = "",
-        some: bool = False,
-        first: tuple[Item, ...] = (),
+        sample: bool = False,
+        priority: tuple[Record, ...] = (),
     ) -> tuple[str, Datagram]:
-        """A message with as much word of others as it holds, the least told first; `some`: of any others too."""
-        items = list(first)
-        message = Datagram(kind, self.name, self.incarnation, number, target)
-        room = message.room() - sum(len(one.encode()) for one in items)
-        limit = SPREAD * math.ceil(math.log2(self._size() + 1))
-        named = {one.name for one in items}
-        for name in sorted(self.news, key=self.news.__getitem__):
-            if name in named:
+        """Build a message filled with pending broadcasts, least-sent first; `sample` adds up to 8 random records."""
+        records = list(priority)
+        message = Datagram(kind, self.name, self.incarnation, sequence, target)
+        room = message.room() - sum(len(one.encode()) for one in records)
+        limit = RETRANSMIT_FACTOR * math.ceil(math.log2(self._group_size() + 1))
+        included = {one.name for one in records}
+        for name in sorted(self.broadcasts, key=self.broadcasts.__getitem__):
+            if name in included:
                 continue
-            item = self.own if name == self.name else (self.members[name].item if name in self.members else None)
-            if item is None or self.news[name] >= limit:
-                del self.news[name]
+            record = self.own if name == self.name else (self.members[name].record if name in self.members else None)
+            if record is None or self.broadcasts[name] >= limit:
+                del self.broadcasts[name]
                 continue
-            if len(item.encode()) > room:
+            if len(record.encode()) > room:
                 break
-            room -= len(item.encode())
-            items.append(item)
-            named.add(name)
-            self.news[name] += 1
-        if some:
-            pool = [self.own, *(one.item for one in self.members.values())]
-            for item in self.rng.sample(pool, min(8, len(pool))):
-                if item.name not in named and len(item.encode()) <= room:
-                    room -= len(item.encode())
-                    items.append(item)
-        return address, Datagram(kind, self.name, self.incarnation, number, target, tuple(items))
-
-
-def _with(item: Item, status: Status) -> Item:
-    return Item(item.name, item.address, item.incarnation, status, item.meta_version, item.meta)
+            room -= len(record.encode())
+            records.append(record)
+            included.add(name)
+            self.broadcasts[name] += 1
+        if sample:
+            candidates = [self.own, *(one.record for one in self.members.values())]
+            for record in self.rng.sample(candidates, min(8, len(candidates))):
+                if record.name not in included and len(record.encode()) <= room:
+                    room -= len(record.encode())
+                    records.append(record)
+        return address, Datagram(kind, self.name, self.incarnation, sequence, target, tuple(records))
+
+
+def _with_status(record: Record, status: Status) -> Record:
+    return Record(record.name, record.address, record.incarnation, status, record.meta_version, record.meta)
--- a/seamlb/zones/__init__.py
+++ b/seamlb/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving a failing zone as a fleet, and coming back at a pace that its desks bear; what follows is an input."""
+"""Zone failover: the fleet leaves a failing zone together and returns to it at a rate that its desks can handle."""
--- a/seamlb/zones/fleet.py
+++ b/seamlb/zones/fleet.py
@@ -1,9 +1,10 @@
-"""What the fleet does about its zones: every agent comes to it by itself, from what all of them tell. Pure.
+"""State machine of zone failover: each agent derives its zones' states from the votes of all agents. Does no I/O.
 
-Rules kept without agreement: nobody leaves a zone on one agent's word (two at least, and half of those who see it),
-so one bad link moves nobody; whoever leaves says so, and who sees half of the living gone follows, whether or not it
-has calls there. A zone is stayed out of for a while that doubles each time it fails on the way back, so one that
-flaps does not flap the fleet. At least one zone stays.
+The rules need no consensus protocol. Leaving a zone takes votes of at least two agents and of half of those that
+observe it, so one agent's bad link has no effect. Agents publish which zones they have left; an agent that sees half
+of the other alive agents out of a zone leaves it too, with or without calls there. The time out of a zone doubles
+each time it fails during the return, so a flapping zone does not make the fleet flap. At least one zone stays in
+service.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from functools import lru_cache
 from zlib import crc32
 
-HOLD = 0.5  # seconds that the votes must stand
-MIN_OUT_S = 15.0  # seconds out of a zone at least
-OUT_MOST = 240.0
-TRICKLE_S, TRICKLE_PART = 3.0, 0.02  # seconds at the start of a return with so much of what the desks bear
-RAMP_S = 20.0  # seconds from there to all
-RAMP_FROM = 0.1
-SLOT = 0.5  # seconds for which a call's place in a returning zone is kept
-WINDOW = 1.5  # seconds over which a desk bears what it bears
-SAFE = WINDOW / (WINDOW + SLOT)  # of the pace that is given out
-CALM = 300.0  # seconds in service after which an earlier failure is forgotten
+VOTE_HOLD_S = 0.5  # for which the quorum must last
+MIN_OUT_S = 15.0  # time out of a zone, before it doubles
+MAX_OUT_S = 240.0
+TRICKLE_S, TRICKLE_SHARE = 3.0, 0.02  # first phase of a return, with this share of the desks' capacity
+RAMP_S = 20.0  # from RAMP_START_SHARE to the whole capacity
+RAMP_START_SHARE = 0.1
+SLOT_S = 0.5  # for which a slot stays open for one call
+CAPACITY_WINDOW_S = 1.5  # over which a desk's call rate is averaged
+SLOT_RATE_FACTOR = CAPACITY_WINDOW_S / (CAPACITY_WINDOW_S + SLOT_S)  # of the rate: a slot may be used late
+FLAP_MEMORY_S = 300.0  # in service, after which the count of flaps is reset
 
 
 class ZoneState(StrEnum):
-    """Of a zone, for this agent."""
+    """State of a zone at this agent."""
 
     IN = "in"
     OUT = "out"
@@ -38,67 +39,71 @@
 
 @dataclass(slots=True, frozen=True)
 class Vote:
-    """What one agent tells: masks of zones that it sees, that fail for it, that it has left."""
+    """One agent's vote: bit masks of the zones that it observes, that fail for it, and that it has left."""
 
-    sees: int = 0
-    fails: int = 0
+    observed: int = 0
+    failing: int = 0
     out: int = 0
 
     def encode(self) -> str:
-        """The vote as members spread it."""
-        return f"{self.sees:x}.{self.fails:x}.{self.out:x}"
+        """The vote as published in the member's metadata."""
+        return f"{self.observed:x}.{self.failing:x}.{self.out:x}"
 
     @staticmethod
-    @lru_cache(4096)  # most tell the same, ten times a second
+    @lru_cache(4096)  # decoded ten times a second per agent, and most votes are equal
     def decode(text: str) -> Vote:
-        """Of what an agent tells; nothing seen if it is not one."""
+        """Parse a vote; an empty one if the text is invalid."""
         try:
-            sees, fails, out = (int(one, 16) for one in text.split("."))
+            observed, failing, out = (int(one, 16) for one in text.split("."))
         except ValueError:
             return Vote()
-        return Vote(sees, fails & sees, out)
+        return Vote(observed, failing & observed, out)
 
 
 @dataclass(slots=True)
 class Zone:
-    """One zone."""
+    """State of one zone; times in seconds."""
 
     state: ZoneState = ZoneState.IN
     since: float = -math.inf
-    standing: float | None = None  # since when enough votes stand
+    quorum_since: float | None = None  # since when there has been a quorum of failure votes
     flaps: int = 0
-    forced: ZoneState | None = None  # by an operator
-    last: bool = False  # it fails and there is no other to go to
+    forced: ZoneState | None = None  # set by an operator
+    kept_as_last: bool = False  # it fails, but no other zone is in service
 
 
-class Zones:
-    """All zones as one agent has them; numbers are those of the settings' list."""
+class ZoneFailover:
+    """States of all zones at one agent, by index in the settings' list.
+
+    `min_out` and `ramp` are in seconds. `configured` is the number of agents in the settings: with several of them,
+    an isolated agent never leaves a zone on its own vote.
+    """
 
     def __init__(
         self,
         count: int,
         configured: int,
         regions: Sequence[frozenset[int]] = (),
-        out: float = MIN_OUT_S,
+        min_out: float = MIN_OUT_S,
         ramp: float = RAMP_S,
     ) -> None:
-        self.least, self.ramp = out, ramp
-        self.configured = configured  # agents; one that is alone among several takes nobody's word, its own neither
+        self.min_out, self.ramp = min_out, ramp
+        self.configured = configured
         self.zones = {number: Zone() for number in range(count)}
         self.regions = regions
-        self.pending_events: list[tuple[str, dict[str, object]]] = []  # log lines that are due
+        self.pending_events: list[tuple[str, dict[str, object]]] = []  # to be logged
 
     @property
     def out(self) -> int:
-        """Mask of the zones that get no call now."""
+        """Bit mask of the zones that get no calls."""
         return sum(1 << number for number, zone in self.zones.items() if zone.state is ZoneState.OUT)
 
     def force(self, number: int, state: ZoneState | None) -> None:
-        """An operator's word: out or in whatever the votes say; None: as they say again."""
+        """Force a zone's state whatever the votes are; None returns it to the votes."""
         self.zones[number].forced = state
 
-    def part(self, now: float, number: int) -> float:
-        """How much of what its desks bear may go to a zone now, of the whole fleet; infinite: no bound of ours."""
+    def capacity_share(self, now: float, number: int) -> float:
+        """Share of its desks' capacity that the whole fleet may send to a zone now; infinite if not limited here."""
         zone = self.zones.get(number)
         if zone is None or zone.state is ZoneState.IN:
             return math.inf
@@ -106,94 +111,104 @@
             return 0.0
         age = now - zone.since
         if age < TRICKLE_S:
-            return TRICKLE_PART
-        return min(1.0, RAMP_FROM + (1.0 - RAMP_FROM) * (age - TRICKLE_S) / self.ramp)
+            return TRICKLE_SHARE
+        return min(1.0, RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * (age - TRICKLE_S) / self.ramp)
 
     def step(self, now: float, own: Vote, others: Mapping[str, Vote]) -> None:
-        """Take what all living agents tell as of now."""
-        theirs = Counter(others.values())  # most of a large fleet tell the same
-        votes = theirs + Counter([own])
+        """Advance all zones by the current votes of all alive agents."""
+        peer_votes = Counter(others.values())  # in a large fleet most votes are equal
+        votes = peer_votes + Counter([own])
         for number, zone in self.zones.items():
             bit = 1 << number
-            # Who has left sees it no more: to those who are still there its leaving is its vote.
-            left = bit if zone.state is ZoneState.IN else 0
-            sees = sum(count for one, count in votes.items() if one.sees & bit or one.out & left)
-            fails = sum(count for one, count in votes.items() if one.fails & bit or one.out & left)
-            gone = sum(count for one, count in theirs.items() if one.out & bit)
-            enough = 1 if self.configured <= 1 else max(2, math.ceil(sees / 2))
-            voted = fails >= enough
-            followed = gone >= 2 and 2 * gone >= len(others)
-            zone.standing = None if not voted else now if zone.standing is None else zone.standing
-            zone.last = zone.last and voted
-            stands = zone.standing is not None and now - zone.standing >= HOLD
+            # An agent that has left observes the zone no more; for agents still in it, that counts as a failure vote.
+            left_bit = bit if zone.state is ZoneState.IN else 0
+            observers = sum(count for one, count in votes.items() if one.observed & bit or one.out & left_bit)
+            failures = sum(count for one, count in votes.items() if one.failing & bit or one.out & left_bit)
+            departed = sum(count for one, count in peer_votes.items() if one.out & bit)
+            quorum = 1 if self.configured <= 1 else max(2, math.ceil(observers / 2))
+            quorum_reached = failures >= quorum
+            peers_left = departed >= 2 and 2 * departed >= len(others)
+            zone.quorum_since = (
+                None if not quorum_reached else now if zone.quorum_since is None else zone.quorum_since
+            )
+            zone.kept_as_last = zone.kept_as_last and quorum_reached
+            confirmed = zone.quorum_since is not None and now - zone.quorum_since >= VOTE_HOLD_S
             if zone.forced is not None:
                 if zone.forced is not zone.state:
-                    self._enter(now, number, zone.forced, "an operator")
+                    self._set_state(now, number, zone.forced, "forced by an operator")
             elif zone.state is ZoneState.IN:
-                if now - zone.since > CALM:
+                if now - zone.since > FLAP_MEMORY_S:
                     zone.flaps = 0
-                if stands or followed:
-                    self._leave(now, number, f"{fails} of {sees} see it fail" if stands else f"{gone} have left")
+                if confirmed or peers_left:
+                    self._leave(
+                        now,
+                        number,
+                        f"{failures} of {observers} report failures" if confirmed else f"{departed} have left",
+                    )
             elif zone.state is ZoneState.OUT:
-                if now - zone.since >= min(OUT_MOST, self.least * 2**zone.flaps):
-                    self._enter(now, number, ZoneState.RETURN, "stayed out long enough")
-            elif stands:
+                if now - zone.since >= min(MAX_OUT_S, self.min_out * 2**zone.flaps):
+                    self._set_state(now, number, ZoneState.RETURN, "minimum time out has passed")
+            elif confirmed:
                 zone.flaps += 1
-                self._enter(now, number, ZoneState.OUT, f"{fails} of {sees} see it fail again")
+                self._set_state(
+                    now, number, ZoneState.OUT, f"{failures} of {observers} report failures during the return"
+                )
             elif now - zone.since >= TRICKLE_S + self.ramp:
-                self._enter(now, number, ZoneState.IN, "all of it again")
-        self._regions(now)
+                self._set_state(now, number, ZoneState.IN, "ramp completed")
+        self._leave_failed_regions(now)
 
-    def _regions(self, now: float) -> None:
-        """A region of which half the zones are out, two at least, is left whole."""
+    def _leave_failed_regions(self, now: float) -> None:
+        """Leave all zones of a region of which at least half, and at least two, are out."""
         for region in self.regions:
             out = [number for number in region if self.zones[number].state is ZoneState.OUT]
             if len(out) >= max(2, math.ceil(len(region) / 2)):
                 for number in sorted(region - set(out)):
                     if self.zones[number].forced is None:
-                        self._leave(now, number, "its region is out")
+                        self._leave(now, number, "half of its region is out")
 
-    def _leave(self, now: float, number: int, why: str) -> None:
-        rest = [one for other, one in self.zones.items() if other != number and one.state is not ZoneState.OUT]
-        if rest:
-            self._enter(now, number, ZoneState.OUT, why)
-        elif not self.zones[number].last:
-            self.zones[number].last = True
-            self.pending_events.append(("zone_last", {"zone": number, "why": why}))
+    def _leave(self, now: float, number: int, reason: str) -> None:
+        remaining = [one for other, one in self.zones.items() if other != number and one.state is not ZoneState.OUT]
+        if remaining:
+            self._set_state(now, number, ZoneState.OUT, reason)
+        elif not self.zones[number].kept_as_last:
+            self.zones[number].kept_as_last = True
+            self.pending_events.append(("zone_last", {"zone": number, "why": reason}))
 
-    def _enter(self, now: float, number: int, state: ZoneState, why: str) -> None:
+    def _set_state(self, now: float, number: int, state: ZoneState, reason: str) -> None:
         zone = self.zones[number]
-        zone.state, zone.since, zone.standing = state, now, None
-        self.pending_events.append((f"zone_{state.value}", {"zone": number, "why": why, "flaps": zone.flaps}))
+        zone.state, zone.since, zone.quorum_since = state, now, None
+        self.pending_events.append((f"zone_{state.value}", {"zone": number, "why": reason, "flaps": zone.flaps}))
 
 
-class Paces:
-    """When this agent may send a call to a desk of a zone that is returned to: in slots of its own.
+class ReturnPacer:
+    """Limits this agent's calls to the desks of a zone during a return, with time slots for single calls.
 
-    At its part of the pace a slot opens now and then, for one call and for SLOT seconds; one not used is lost: saved
-    up, the slots of a large fleet would come at once. Agents begin at places that are spread evenly, by their ranks
-    among the living, or chance would have many open together. SAFE is what the slots' length leaves of the pace.
+    Slots open at this agent's share of the rate, each for one call and for SLOT_S. An unused slot expires: if slots
+    accumulated, those of a large fleet could be used at once. The agents' slots are staggered evenly by their rank
+    among the alive agents, as with random offsets many could be open at once. SLOT_RATE_FACTOR lowers the rate so
+    that a call late in its slot does not exceed the desk's capacity in any CAPACITY_WINDOW_S.
     """
 
     def __init__(self) -> None:
-        self.slots: dict[str, tuple[float, float, float]] = {}  # progress to the next, as of when, open until
-
-    def may(self, now: float, desk: str, rate: float, place: float) -> bool:
-        """May a call go there now, at a part of so many a second? `place`: ours among the living, from 0 to 1."""
-        # Other desks' slots come at other times, or we could not fill them; the same ones for all agents.
-        first = (place + crc32(desk.encode()) / 2**32) % 1.0
-        progress, at, until = self.slots.get(desk) or (first, now, -math.inf)
-        progress += (now - at) * rate * SAFE
+        # By desk: progress to the next slot (0 to 1), time of that progress (s), end of the open slot (s).
+        self.slots: dict[str, tuple[float, float, float]] = {}
+
+    def allows(self, now: float, desk: str, rate: float, relative_rank: float) -> bool:
+        """Whether a call may go to a desk now; `rate` is this agent's share in calls/s."""
+        # Slots of different desks are staggered too, the same at all agents, or this agent could not use all of them.
+        offset = (relative_rank + crc32(desk.encode()) / 2**32) % 1.0
+        progress, updated_at, open_until = self.slots.get(desk) or (offset, now, -math.inf)
+        progress += (now - updated_at) * rate * SLOT_RATE_FACTOR
         if progress >= 1.0:
-            progress, until = progress % 1.0, now + SLOT
-        self.slots[desk] = progress, now, until
-        return now < until
+            progress, open_until = progress % 1.0, now + SLOT_S
+        self.slots[desk] = progress, now, open_until
+        return now < open_until
 
     def sent(self, desk: str) -> None:
-        """One has gone."""
+        """A call was sent to a desk: its slot is used up."""
         if desk in self.slots:
             self.slots[desk] = (*self.slots[desk][:2], -math.inf)
 
     def forget(self, desk: str) -> None:
-        """It has no bound any more."""
+        """Drop a desk's state, as it is no longer limited."""
         self.slots.pop(desk, None)
--- a/seamlb/zones/overlay.py
+++ b/seamlb/zones/overlay.py
@@ -1,7 +1,7 @@
-"""What an agent's decision module is told of its desks, by what the fleet does about their zones. Pure.
+"""Adjusts the desks' availability that the decision module sees to the state of their zones. Does no I/O.
 
-The module stays in charge: a desk of a zone that is out is told to it as one that drains, one of a zone that is
-returned to as one that started cold just then, and drains whenever this agent's part of the pace is used up.
+All routing decisions stay with the module. It sees desks of a zone that is out as draining, and desks of a zone that
+is being returned to as cold-started at the return, or as draining while this agent's share of the rate is used up.
 """
 
 from __future__ import annotations
@@ -14,99 +14,105 @@
 
 from seamlb.routing.model import Availability, Desk, Status
 from seamlb.routing.seam import Part
-from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, Paces, Vote, Zones, ZoneState
-from seamlb.zones.sight import Sight
+from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, ReturnPacer, Vote, ZoneFailover, ZoneState
+from seamlb.zones.sight import ZoneObservations
 
-FAILED = (Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
-LIVES = (Status.OK, Status.FULL, Status.ERROR)  # the desk answered
+FAILURES = (Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
+RESPONSES = (Status.OK, Status.FULL, Status.ERROR)  # they prove that the desk is alive
 
 
 class ZoneFilter(Part):
-    """One agent's: fed with its attempts and the others' votes, asked what its module is to believe."""
+    """Zone failover of one agent: takes its attempts and the other agents' votes, and filters the list of desks.
+
+    `desk_capacity` is the calls/s that one desk handles from all agents together; an attempt without an answer for
+    `stall` s counts as timed out.
+    """
 
     def __init__(
         self,
         names: Sequence[str],
         configured: int,
-        bears: float,
+        desk_capacity: float,
         stall: float,
         regions: Sequence[frozenset[int]] = (),
-        out: float = MIN_OUT_S,
+        min_out: float = MIN_OUT_S,
         ramp: float = RAMP_S,
     ) -> None:
-        self.names, self.bears, self.stall = names, bears, stall
-        self.sight = Sight()
-        self.zones = Zones(len(names), configured, regions, out, ramp)
-        self.paces = Paces()
+        self.names, self.desk_capacity, self.stall = names, desk_capacity, stall
+        self.observations = ZoneObservations()
+        self.zones = ZoneFailover(len(names), configured, regions, min_out, ramp)
+        self.pacer = ReturnPacer()
         self.divisor = max(1, configured)
-        self.desks: dict[str, Desk] = {}  # as the list has them
-        self.told: dict[str, Desk] = {}  # as the module has them
-        self.since: dict[str, float] = {}  # Unix ms of the latest return, by desk
-        self.out: dict[int, tuple[float, str]] = {}  # attempts: since when, where
+        self.desks: dict[str, Desk] = {}  # as listed by discovery
+        self.reported: dict[str, Desk] = {}  # as passed on to the module
+        self.returned_at: dict[str, float] = {}  # by desk: Unix ms of the latest return to its zone
+        self.open_attempts: dict[int, tuple[float, str]] = {}  # by number: sent at (s), desk
         self.votes: dict[str, Vote] = {}
-        self.place = 0.0  # ours among the living, from 0 to 1
+        self.relative_rank = 0.0  # this agent's index among the alive agents over their number, 0 to 1
 
     # -- attempts -----------------------------------------------------------------------------
 
     def sent(self, now: float, attempt: int, desk: str) -> None:
-        """An attempt goes out."""
-        self.out[attempt] = now, desk
-        self.paces.sent(desk)
+        """An attempt was sent."""
+        self.open_attempts[attempt] = now, desk
+        self.pacer.sent(desk)
 
     def ended(self, now: float, attempt: int, status: Status) -> None:
-        """It is over; one that stalled is told already. One from before its zone was left tells of that time."""
-        at, desk = self.out.pop(attempt, (0.0, ""))
-        if desk in self.desks and status in (*FAILED, *LIVES):
+        """An attempt has ended; ignored if it was already counted as timed out or is older than its zone's state."""
+        at, desk = self.open_attempts.pop(attempt, (0.0, ""))
+        if desk in self.desks and status in (*FAILURES, *RESPONSES):
             number = self.desks[desk].zone
             if number in self.zones.zones and at >= self.zones.zones[number].since:
-                self.sight.ended(now, desk, number, status in FAILED)
+                self.observations.record(now, desk, number, status in FAILURES)
 
     # -- the fleet ----------------------------------------------------------------------------
 
-    def step(self, now: float, others: Mapping[str, Vote], divisor: int, place: float = 0.0) -> None:
-        """Take what the living others tell, by how many the fleet's paces are divided, and our place among them."""
-        self.place = place
+    def step(self, now: float, others: Mapping[str, Vote], divisor: int, relative_rank: float = 0.0) -> None:
+        """Advance all zones; `others` are the other alive agents' votes, `divisor` divides the fleet's call rates."""
+        self.relative_rank = relative_rank
         self.divisor, self.votes = max(1, divisor), dict(others)
-        for attempt, (at, _) in list(self.out.items()):
-            if now - at > self.stall:  # its end may be long in coming
+        for attempt, (at, _) in list(self.open_attempts.items()):
+            if now - at > self.stall:  # counted now, as it may end much later
                 self.ended(now, attempt, Status.TIMEOUT)
         before = {number: zone.state for number, zone in self.zones.zones.items()}
         self.zones.step(now, self.vote(now), others)
         for number, zone in self.zones.zones.items():
             if zone.state is not before[number]:
-                self.sight.forget(number)
-                for desk in self._in(number):
-                    self.paces.forget(desk)
+                self.observations.forget(number)
+                for desk in self._desks_in(number):
+                    self.pacer.forget(desk)
 
     def vote(self, now: float) -> Vote:
-        """What we tell the others."""
+        """The vote that this agent publishes."""
         per_zone = Counter(one.zone for one in self.desks.values() if one.availability == Availability.READY)
-        sees, fails = self.sight.verdict(now, per_zone)
-        out = self.zones.out  # what we saw there is what had us leave: it is no word on how it is now
+        sees, fails = self.observations.evaluate(now, per_zone)
+        out = self.zones.out  # what was observed there led to leaving; it says nothing about the present
         return Vote(sees & ~out, fails & ~out, out)
 
-    def _in(self, number: int) -> list[str]:
+    def _desks_in(self, number: int) -> list[str]:
         return [name for name, desk in self.desks.items() if desk.zone == number]
 
-    # -- what the module is to believe --------------------------------------------------------
+    # -- the list of desks --------------------------------------------------------------------
 
-    def _as_told(self, now: float, unix_ms: float, desk: Desk) -> Desk:
+    def _effective(self, now: float, unix_ms: float, desk: Desk) -> Desk:
         zone = self.zones.zones.get(desk.zone)
         if zone is None or desk.availability != Availability.READY:
             return desk
         if zone.state is ZoneState.OUT:
-            self.since.pop(desk.ident, None)
+            self.returned_at.pop(desk.ident, None)
             return replace(desk, availability=Availability.DRAINING)
-        if zone.state is ZoneState.RETURN and desk.ident not in self.since:
-            self.since[desk.ident] = unix_ms
-        desk = replace(desk, since_ms=max(desk.since_ms, self.since.get(desk.ident, 0.0)))
-        part = self.zones.part(now, desk.zone)
-        if part < math.inf and not self.paces.may(now, desk.ident, self.bears * part / self.divisor, self.place):
+        if zone.state is ZoneState.RETURN and desk.ident not in self.returned_at:
+            self.returned_at[desk.ident] = unix_ms
+        desk = replace(desk, since_ms=max(desk.since_ms, self.returned_at.get(desk.ident, 0.0)))
+        share = self.zones.capacity_share(now, desk.zone)
+        if share < math.inf and not self.pacer.allows(
+            now, desk.ident, self.desk_capacity * share / self.divisor, self.relative_rank
+        ):
             return replace(desk, availability=Availability.DRAINING)
         return desk
 
     def listed(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
-        """News of the list, as the module is to have them."""
+        """Filter an update of the list of desks; `whole`: it is the complete list."""
         desks = list(desks)
         if whole:
             named = {one.ident for one in desks}
@@ -117,36 +123,36 @@
                 self._forget(desk.ident)
             else:
                 self.desks[desk.ident] = desk
-        found = [self._as_told(now, unix_ms, one) for one in desks]
-        self.told |= {one.ident: one for one in found if one.availability != Availability.GONE}
+        found = [self._effective(now, unix_ms, one) for one in desks]
+        self.reported |= {one.ident: one for one in found if one.availability != Availability.GONE}
         return found
 
     def changed(self, now: float, unix_ms: float) -> list[Desk]:
-        """Desks of which the module has to be told something else now."""
+        """Desks that the module must be given again, as their availability has changed since the last report."""
         found = []
         for name, desk in self.desks.items():
-            as_told = self._as_told(now, unix_ms, desk)
-            if as_told != self.told.get(name):
-                self.told[name] = as_told
-                found.append(as_told)
+            effective = self._effective(now, unix_ms, desk)
+            if effective != self.reported.get(name):
+                self.reported[name] = effective
+                found.append(effective)
         return found
 
     def _forget(self, name: str) -> None:
-        for where in (self.desks, self.told, self.since):
-            where.pop(name, None)
-        self.paces.forget(name)
+        for by_name in (self.desks, self.reported, self.returned_at):
+            by_name.pop(name, None)
+        self.pacer.forget(name)
 
     # -- operators ----------------------------------------------------------------------------
 
     def force(self, name: str, state: str) -> bool:
-        """`out`, `in` or `auto` for a zone by its name; False if there is no such zone or word."""
+        """Force a zone `out` or `in`, or back to `auto`; False if the zone or the state is unknown."""
         if name not in self.names or state not in ("out", "in", "auto"):
             return False
         self.zones.force(self.names.index(name), None if state == "auto" else ZoneState(state))
         return True
 
     def table(self, now: float) -> dict[str, Any]:
-        """What `/admin/zones` shows."""
+        """The response body of `/admin/zones`."""
         own = self.vote(now)
         return {
             "divisor": self.divisor,
@@ -157,10 +163,12 @@
                     "forced": zone.forced.value if zone.forced else "",
                     "for_s": round(now - zone.since, 1) if zone.since > -math.inf else None,
                     "flaps": zone.flaps,
-                    "part": None if (part := self.zones.part(now, number)) == math.inf else round(part, 3),
-                    "we_see_it_fail": bool(own.fails >> number & 1),
-                    "others_see": sum(bool(one.sees >> number & 1) for one in self.votes.values()),
-                    "others_see_it_fail": sum(bool(one.fails >> number & 1) for one in self.votes.values()),
+                    "part": None
+                    if (share := self.zones.capacity_share(now, number)) == math.inf
+                    else round(share, 3),
+                    "we_see_it_fail": bool(own.failing >> number & 1),
+                    "others_see": sum(bool(one.observed >> number & 1) for one in self.votes.values()),
+                    "others_see_it_fail": sum(bool(one.failing >> number & 1) for one in self.votes.values()),
                     "others_out": sum(bool(one.out >> number & 1) for one in self.votes.values()),
                 }
                 for (number, zone), name in zip(self.zones.zones.items(), self.names, strict=True)
--- a/seamlb/zones/sight.py
+++ b/seamlb/zones/sight.py
@@ -1,53 +1,55 @@
-"""What one agent sees of zones, from its own attempts. Pure: times are seconds given in."""
+"""Detects failing zones from the outcomes of one agent's own attempts. Does no I/O; callers pass in times (s)."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Mapping
 
-WINDOW = 3.0  # seconds for which an attempt's end is evidence
-LOOK = 15.0  # seconds for which the latest LEAST are, where fewer come: each agent sees little traffic
-LEAST = 3  # ends in a zone before it is judged
-BAD = 0.8  # share of them from which it fails
-DESKS = 2  # desks of a zone that must fail, or all it has
-WELL = 0.5  # share of the ends elsewhere that must be well, or it is our own link that fails
+RECENT_S = 3.0  # maximum age of outcomes where there are MIN_OUTCOMES of them
+MAX_AGE_S = 15.0  # otherwise the maximum age of the latest MIN_OUTCOMES: an agent may have little traffic
+MIN_OUTCOMES = 3  # without so many outcomes a zone counts as not observed
+FAILURE_SHARE = 0.8  # of the outcomes, from which a zone fails
+MIN_FAILING_DESKS = 2  # in a zone, or all of its desks if it has fewer
+HEALTHY_SHARE = 0.5  # of the outcomes in other zones that must be successful; below, the local link is at fault
 
 
-class Sight:
-    """An agent's latest attempts; a refusal tells that a desk lives, a reset or silence that it fails."""
+class ZoneObservations:
+    """Latest outcomes by zone; a refusal shows that a desk is alive, a reset or timeout that it fails."""
 
     def __init__(self) -> None:
-        self.ends: dict[int, deque[tuple[float, str, bool]]] = {}  # by zone
+        self.outcomes: dict[int, deque[tuple[float, str, bool]]] = {}  # by zone: time (s), desk, failed
 
-    def ended(self, now: float, desk: str, zone: int, failed: bool) -> None:
-        """An attempt at a desk is over."""
-        self.ends.setdefault(zone, deque(maxlen=256)).append((now, desk, failed))
+    def record(self, now: float, desk: str, zone: int, failed: bool) -> None:
+        """Add the outcome of an attempt to reach a desk."""
+        self.outcomes.setdefault(zone, deque(maxlen=256)).append((now, desk, failed))
 
     def forget(self, zone: int) -> None:
-        """What was seen of a zone is of an earlier time."""
-        self.ends.pop(zone, None)
+        """Drop all outcomes of a zone."""
+        self.outcomes.pop(zone, None)
 
-    def verdict(self, now: float, desks: Mapping[int, int]) -> tuple[int, int]:
-        """Masks of the zones that are seen at all and of those that fail; `desks`: how many each zone has.
+    def evaluate(self, now: float, desks: Mapping[int, int]) -> tuple[int, int]:
+        """Bit masks of the observed zones and of the failing ones; `desks` is the number of desks by zone.
 
-        Nothing fails where we see no zone that is well: then it may be us.
+        No zone fails unless others are observed and healthy: otherwise this agent may be at fault.
         """
-        judged: dict[int, list[tuple[float, str, bool]]] = {}
-        for zone, ends in list(self.ends.items()):
-            while ends and ends[0][0] < now - LOOK:
-                ends.popleft()
-            late = [one for one in ends if one[0] >= now - WINDOW]
-            found = late if len(late) >= LEAST else list(ends)[-LEAST:]
-            if len(found) >= LEAST:
-                judged[zone] = found
-        sees = fails = 0
-        for zone, found in judged.items():
-            sees |= 1 << zone
-            bad = {desk for _, desk, failed in found if failed}
-            share = sum(failed for *_, failed in found) / len(found)
-            if share < BAD or len(bad) < min(DESKS, desks.get(zone, DESKS)):
+        evidence: dict[int, list[tuple[float, str, bool]]] = {}
+        for zone, history in list(self.outcomes.items()):
+            while history and history[0][0] < now - MAX_AGE_S:
+                history.popleft()
+            recent = [one for one in history if one[0] >= now - RECENT_S]
+            outcomes = recent if len(recent) >= MIN_OUTCOMES else list(history)[-MIN_OUTCOMES:]
+            if len(outcomes) >= MIN_OUTCOMES:
+                evidence[zone] = outcomes
+        observed = failing = 0
+        for zone, outcomes in evidence.items():
+            observed |= 1 << zone
+            failing_desks = {desk for _, desk, failed in outcomes if failed}
+            share = sum(failed for *_, failed in outcomes) / len(outcomes)
+            if share < FAILURE_SHARE or len(failing_desks) < min(
+                MIN_FAILING_DESKS, desks.get(zone, MIN_FAILING_DESKS)
+            ):
                 continue
-            rest = [failed for other, ends in judged.items() if other != zone for *_, failed in ends]
-            if rest and sum(not one for one in rest) >= WELL * len(rest):
-                fails |= 1 << zone
-        return sees, fails
+            elsewhere = [failed for other, history in evidence.items() if other != zone for *_, failed in history]
+            if elsewhere and sum(not one for one in elsewhere) >= HEALTHY_SHARE * len(elsewhere):
+                failing |= 1 << zone
+        return observed, failing
--- a/tests/test_zones_daemon.py
+++ b/tests/test_zones_daemon.py
@@ -1,4 +1,4 @@
-"""A zone that fails under real processes: five agents, desks in three zones, an injector on one agent's links."""
+"""Zone failover of real processes: five agents, desks in three zones, fault injectors on one agent's links."""
 
 import asyncio
 import json
@@ -20,19 +20,19 @@
 from tests.support import RAW
 
 SIZE, ZONES, DESKS = 5, 3, 2
-BEARS = 20.0
-RATE = 100.0
+DESK_CAPACITY = 20.0  # calls/s
+RATE = 100.0  # calls/s
 
 
-class Files(unittest.TestCase):
-    def test_what_is_wrong_is_one_line_and_exit_2(self) -> None:
+class ZonesTable(unittest.TestCase):
+    def test_invalid_table_is_reported_on_one_line_with_exit_code_2(self) -> None:
         zones = "[zones]\nbears = 20\n"
         members = '[members]\nudp = "127.0.0.1:7946"\nkeys = "k"\n'
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             (folder / "k").write_text(f'send = 1\n[keys]\n1 = "{"11" * 32}"\n')
             (folder / "k").chmod(0o600)
-            for azs, table, says in (
+            for azs, table, message in (
                 (["x", "y"], members + zones, ""),
                 (["x"], members + zones, "fewer than two"),
                 (["x", "y"], zones, "no table [members]"),
@@ -42,30 +42,31 @@
                 (["x", "y"], members + zones + "out = 0.1\n", "not 1 to 3600"),
                 (["x", "y"], members + zones + "bear = 1\n", "zones.bear: unknown key"),
             ):
-                with self.subTest(says=says):
+                with self.subTest(message=message):
                     (folder / "c.json").write_text(
                         json.dumps({"settings": RAW | {"Azs": azs}, "listen": "127.0.0.1:0"})
                     )
                     (folder / "p.toml").write_text(table)
-                    check_files(self, folder, says)
+                    check_files(self, folder, message)
 
 
-class Zoned(unittest.IsolatedAsyncioTestCase):
+class ZoneFailoverOfProcesses(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.hosts = [own_host() for _ in range(SIZE)]
         self.processes: list[asyncio.subprocess.Process] = []
         self.attempts: dict[str, int] = {}
-        self.came: list[tuple[float, int, int]] = []  # when, zone, desk
-        self.dead = -1
+        self.arrivals: list[tuple[float, int, int]] = []  # time (s), zone, desk
+        self.hanging_zone = -1
         self.desks = [
             ScriptedDesk(self.script(n // DESKS, n), report="idle:500;circuits:500") for n in range(ZONES * DESKS)
         ]
         for desk in self.desks:
             await desk.start()
-        self.injectors = [Injector(desk.address) for desk in self.desks[DESKS : 2 * DESKS]]  # a0's to zone z1
-        for one in self.injectors:
-            await one.start()
+        # On the links of a0 to zone z1.
+        self.injectors = [Injector(desk.address) for desk in self.desks[DESKS : 2 * DESKS]]
+        for injector in self.injectors:
+            await injector.start()
         self.addAsyncCleanup(self.end)
         (self.folder / "keys").write_text(f'send = 1\n[keys]\n1 = "{"11" * 32}"\n')
         (self.folder / "keys").chmod(0o600)
@@ -79,8 +80,8 @@
         async def play(peer: Peer, invite: Message) -> None:
             ident = invite.get("call-id")
             self.attempts[ident] = self.attempts.get(ident, 0) + 1
-            self.came.append((asyncio.get_running_loop().time(), zone, number))
-            if zone != self.dead:
+            self.arrivals.append((asyncio.get_running_loop().time(), zone, number))
+            if zone != self.hanging_zone:
                 await answer(peer, invite)
 
         return play
@@ -114,7 +115,7 @@
         )
         (self.folder / f"{number}.toml").write_text(
             f'[members]\nudp = "{self.hosts[number]}:7946"\nkeys = "keys"\nseeds = ["{self.hosts[0]}:7946"]\n'
-            f"[zones]\nbears = {BEARS}\nout = 3\nramp = 4\n"
+            f"[zones]\nbears = {DESK_CAPACITY}\nout = 3\nramp = 4\n"
         )
         with open(self.folder / f"{number}.log", "ab") as out:
             self.processes.append(
@@ -134,10 +135,10 @@
             )
 
     async def end(self) -> None:
-        for one in self.processes:
-            if one.returncode is None:
-                one.kill()
-            await one.wait()
+        for process in self.processes:
+            if process.returncode is None:
+                process.kill()
+            await process.wait()
         for injector in self.injectors:
             await injector.stop()
         for desk in self.desks:
@@ -146,49 +147,53 @@
     def lines(self, number: int, event: str) -> list[dict[str, Any]]:
         return log_events(self.folder / f"{number}.log", event)
 
-    async def until(self, true: Any, within: float = 3 * PATIENCE) -> None:
-        async with asyncio.timeout(within):
-            while not true():
+    async def until(self, condition: Any, timeout: float = 3 * PATIENCE) -> None:
+        async with asyncio.timeout(timeout):
+            while not condition():
                 await asyncio.sleep(0.1)
 
-    def all_say(self, event: str, times: int = 1) -> bool:
+    def all_logged(self, event: str, times: int = 1) -> bool:
         return all(len([one for one in self.lines(n, event) if one["zone"] == "z1"]) >= times for n in range(SIZE))
 
-    async def test_a_zone_that_hangs_is_left_by_all_and_one_agents_link_moves_nobody(self) -> None:
+    async def test_all_agents_leave_a_hanging_zone_but_not_for_one_agents_link(self) -> None:
         callers = Callers([f"{one}:5060" for one in self.hosts], RATE, dests=ZONES * DESKS)
         self.addAsyncCleanup(callers.stop)
         await asyncio.sleep(4.0)
-        for one in self.injectors:  # a0 alone has no answer from z1
-            one.mode = "drop"
+        for injector in self.injectors:  # only a0 gets no response from z1
+            injector.mode = "drop"
         await asyncio.sleep(6.0)
         self.assertEqual([self.lines(n, "zone_out") for n in range(SIZE)], [[]] * SIZE)
-        for one in self.injectors:
-            one.mode = "pass"
+        for injector in self.injectors:
+            injector.mode = "pass"
 
-        self.dead = 1
-        await self.until(lambda: self.all_say("zone_out"))
+        self.hanging_zone = 1
+        await self.until(lambda: self.all_logged("zone_out"))
         self.assertEqual({one["zone"] for n in range(SIZE) for one in self.lines(n, "zone_out")}, {"z1"})
-        told = await asyncio.to_thread(CliRunner().invoke, main, ["zones", "list", "--at", f"{self.hosts[1]}:7001"])
-        self.assertRegex(told.output, r"z1 +(out|return)")
-        self.dead = -1
-        await self.until(lambda: self.all_say("zone_return"))
+        listing = await asyncio.to_thread(
+            CliRunner().invoke, main, ["zones", "list", "--at", f"{self.hosts[1]}:7001"]
+        )
+        self.assertRegex(listing.output, r"z1 +(out|return)")
+        self.hanging_zone = -1
+        await self.until(lambda: self.all_logged("zone_return"))
         began = asyncio.get_running_loop().time()
-        await self.until(lambda: self.all_say("zone_in"))
+        await self.until(lambda: self.all_logged("zone_in"))
         ended = asyncio.get_running_loop().time()
         for number in range(DESKS, 2 * DESKS):
-            came = [at for at, _, desk in self.came if desk == number and began <= at <= ended - 1.0]
-            peak = max((sum(at <= other < at + 1.5 for other in came) for at in came), default=0)
-            self.assertLessEqual(peak, BEARS * 1.5)
-        self.assertTrue([one for one in self.came if one[1] == 1 and one[0] > began])
+            arrivals = [at for at, _, desk in self.arrivals if desk == number and began <= at <= ended - 1.0]
+            peak = max((sum(at <= other < at + 1.5 for other in arrivals) for at in arrivals), default=0)
+            self.assertLessEqual(peak, DESK_CAPACITY * 1.5)
+        self.assertTrue([one for one in self.arrivals if one[1] == 1 and one[0] > began])
         await callers.stop()
         self.assertEqual([call for call, count in self.attempts.items() if count > 4], [])  # AttemptsCap
         self.assertEqual(callers.lost, [])
         self.assertNotIn("doubled", callers.ends)
 
         at = ["--at", f"{self.hosts[2]}:7001"]
-        for words, code in ((["nowhere", "out"], 1), (["z2", "out"], 0)):
-            done = await asyncio.to_thread(CliRunner().invoke, main, ["zones", "force", *at, *words])
-            self.assertEqual(done.exit_code, code, done.output)
+        for arguments, code in ((["nowhere", "out"], 1), (["z2", "out"], 0)):
+            result = await asyncio.to_thread(CliRunner().invoke, main, ["zones", "force", *at, *arguments])
+            self.assertEqual(result.exit_code, code, result.output)
         await self.until(
-            lambda: any(one["zone"] == "z2" and one["why"] == "an operator" for one in self.lines(2, "zone_out"))
+            lambda: any(
+                one["zone"] == "z2" and one["why"] == "forced by an operator" for one in self.lines(2, "zone_out")
+            )
         )
