--- a/seamlb/members/swim.py
+++ b/seamlb/members/swim.py
@@ -31,7 +31,7 @@
 DEAD_RETENTION_S = 300.0  # for which the records of dead members are kept
 MAX_DEAD_MEMBERS = 256  # records of dead members that are kept
 DUPLICATE_TTL_S = 30.0  # for which a report of a second process with this name counts
-CONFLICT_CONFIRM_S = 1.0  # an older process must be heard for so long: a single datagram may only be delayed
+CONFLICT_CONFIRM_S = 1.0  # for which an older process must keep sending: a single datagram may only be delayed
 
 Outgoing = list[tuple[str, Datagram]]
 
--- a/seamlb/members/wire.py
+++ b/seamlb/members/wire.py
@@ -1,6 +1,6 @@
 """Format of the datagrams between instances: at most 256 bytes, signed. Does no I/O.
 
-    magic 1 | version 1 | key 1 | kind 1 | sender | incarnation 8 | counter 8 | sent_at 4 | sequence 4 | target
+    magic 1 | version 1 | key 1 | kind 1 | sender | incarnation 8 | counter 8 | sent_at 4 | sequence 4 | target |
     number of records 1 | records | mac
     record: name | IPv4 4 | port 2 | incarnation 8 | status 1 | meta_version 2 | length of meta 1 | meta
 
@@ -26,7 +26,7 @@
 MAX_META_BYTES = 32
 MAX_CLOCK_SKEW_S = 30.0  # between a datagram's time and the local clock
 MAX_TRACKED_SENDERS = 4096  # with a replay window
-REPLAY_WINDOW = 64  # datagrams by which one of a sender's may arrive out of order
+REPLAY_WINDOW = 64  # datagrams of one sender within which they may arrive out of order
 LOG_INTERVAL_S = 10.0  # between two log lines on datagrams dropped for the same reason
 _HEADER, _BODY, _RECORD = struct.Struct(">BBBB"), struct.Struct(">QQII"), struct.Struct(">4sHQBHB")
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -144,13 +144,13 @@
         net = VirtualNetwork(6)
         net.run_until_converged(names(6))
         net.run(2.0)
-        twin = net.start("i2", "10.9.9.9:7946")
+        duplicate = net.start("i2", "10.9.9.9:7946")
         net.run(15.0)
         self.assertTrue(net.instance("i2").has_duplicate)
-        self.assertTrue(twin.has_duplicate)
+        self.assertTrue(duplicate.has_duplicate)
         net.kill("i2")
         net.run(2 * DUPLICATE_TTL_S)
-        self.assertFalse(twin.has_duplicate)
+        self.assertFalse(duplicate.has_duplicate)
 
     def test_latest_metadata_reaches_all(self) -> None:
         net = VirtualNetwork(20)
