--- a/seamlb/members/link.py
+++ b/seamlb/members/link.py
@@ -15,7 +15,7 @@
 from seamlb.members.table import MemberKeys, MembersConfig
 from seamlb.members.wire import MAX_NAME_BYTES, Status
 from seamlb.net.address import split_address
-from seamlb.net.datagram import Endpoint
+from seamlb.net.datagram import DatagramEndpoint
 
 TICK_S = 0.1  # between two runs of the protocol's timers
 BIND_RETRY_S = 0.5  # between two attempts to bind an address that the previous process still holds
@@ -46,14 +46,14 @@
         self.authenticator = DatagramAuthenticator(keys.accepted, keys.signing_key, time.time())
         self.limit_divisor = LimitDivisor(configured)
         self.divisor = configured
-        self.endpoint: Endpoint | None = None
+        self.endpoint: DatagramEndpoint | None = None
         self.swim: Swim | None = None
         self.meta = b""
 
     async def start(self) -> bool:
         """Bind the socket; False if the previous process still holds the address, and the name with it."""
         try:
-            self.endpoint = await Endpoint.bind(self.config.udp, "members", self._received)
+            self.endpoint = await DatagramEndpoint.bind(self.config.udp, "members", self._received)
         except OSError:
             if not self.address_shared:
                 raise
--- a/tests/test_members_daemon.py
+++ b/tests/test_members_daemon.py
@@ -18,7 +18,7 @@
 from seamlb.members.guard import DatagramAuthenticator
 from seamlb.members.wire import Datagram, Kind, Record, Status
 from tests.fleet import ROOT, check_files, own_host
-from tests.loopback import PATIENCE
+from tests.loopback import HANG_TIMEOUT
 from tests.processes import log_events
 from tests.support import RAW
 
@@ -101,7 +101,7 @@
                     return False
         return True
 
-    async def until(self, condition: Any, timeout: float = 3 * PATIENCE) -> None:
+    async def until(self, condition: Any, timeout: float = 3 * HANG_TIMEOUT) -> None:
         async with asyncio.timeout(timeout):
             while not await condition():
                 await asyncio.sleep(0.2)
