--- a/seamlb/members/guard.py
+++ b/seamlb/members/guard.py
@@ -30,7 +30,7 @@
 
     def __init__(self, keys: Mapping[int, bytes], signing_key: int, clock: float) -> None:
         self.counter = int(clock * 1e6)  # Unix us of the start: above all counters of an earlier process
-        self.windows: dict[tuple[str, str], _ReplayWindow] = {}
+        self.windows: dict[tuple[str, str], _ReplayWindow] = {}  # by sender and address
         self.dropped: Counter[str] = Counter()
         self.last_logged: dict[str, float] = {}
         self.unlogged_reasons: list[str] = []  # drop reasons that are due for a log line
--- a/seamlb/members/swim.py
+++ b/seamlb/members/swim.py
@@ -14,7 +14,7 @@
 from seamlb.members.wire import MAX_META_BYTES, Datagram, Kind, Record, Status
 
 PERIOD_S = 1.0  # between two probes by this instance
-RETRY_SHARE = 0.3  # of the probe timeout, between the ping and each retry
+RETRY_SHARE = 0.3  # of the probe timeout, from the ping to the first retry and from there to the next
 MAX_PROBE_RETRIES = 2  # each pings the target again and asks others to ping it
 INDIRECT_PROBES = 3  # members that are asked to ping the target
 SUSPICION_PERIODS = 6.0  # probe periods, times log10 of the group size, from suspicion to death
--- a/seamlb/zones/overlay.py
+++ b/seamlb/zones/overlay.py
@@ -85,16 +85,16 @@
     def vote(self, now: float) -> Vote:
         """The vote that this agent publishes."""
         per_zone = Counter(one.zone for one in self.desks.values() if one.availability == Availability.READY)
-        sees, fails = self.observations.evaluate(now, per_zone)
+        observed, failing = self.observations.evaluate(now, per_zone)
         out = self.zones.out  # what was observed there led to leaving; it says nothing about the present
-        return Vote(sees & ~out, fails & ~out, out)
+        return Vote(observed & ~out, failing & ~out, out)
 
     def _desks_in(self, number: int) -> list[str]:
         return [name for name, desk in self.desks.items() if desk.zone == number]
 
     # -- the list of desks --------------------------------------------------------------------
 
-    def _effective(self, now: float, unix_ms: float, desk: Desk) -> Desk:
+    def _filtered(self, now: float, unix_ms: float, desk: Desk) -> Desk:
         zone = self.zones.zones.get(desk.zone)
         if zone is None or desk.availability != Availability.READY:
             return desk
@@ -123,7 +123,7 @@
                 self._forget(desk.ident)
             else:
                 self.desks[desk.ident] = desk
-        found = [self._effective(now, unix_ms, one) for one in desks]
+        found = [self._filtered(now, unix_ms, one) for one in desks]
         self.reported |= {one.ident: one for one in found if one.availability != Availability.GONE}
         return found
 
@@ -131,10 +131,10 @@
         """Desks that the module must be given again, as their availability has changed since the last report."""
         found = []
         for name, desk in self.desks.items():
-            effective = self._effective(now, unix_ms, desk)
-            if effective != self.reported.get(name):
-                self.reported[name] = effective
-                found.append(effective)
+            filtered = self._filtered(now, unix_ms, desk)
+            if filtered != self.reported.get(name):
+                self.reported[name] = filtered
+                found.append(filtered)
         return found
 
     def _forget(self, name: str) -> None:
