--- a/seamlb/zones/overlay.py
+++ b/seamlb/zones/overlay.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from seamlb.routing.model import Availability, Desk, Status
-from seamlb.routing.seam import Part
+from seamlb.routing.seam import InputFilter
 from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, ReturnPacer, Vote, ZoneFailover, ZoneState
 from seamlb.zones.sight import ZoneObservations
 
@@ -21,7 +21,7 @@
 RESPONSES = (Status.OK, Status.FULL, Status.ERROR)  # they prove that the desk is alive
 
 
-class ZoneFilter(Part):
+class ZoneFilter(InputFilter):
     """Zone failover of one agent: takes its attempts and the other agents' votes, and filters the list of desks.
 
     `desk_capacity` is the calls/s that one desk handles from all agents together; an attempt without an answer for
@@ -52,12 +52,12 @@
 
     # -- attempts -----------------------------------------------------------------------------
 
-    def sent(self, now: float, attempt: int, desk: str) -> None:
+    def attempt_started(self, now: float, attempt: int, desk: str) -> None:
         """An attempt was sent."""
         self.open_attempts[attempt] = now, desk
         self.pacer.sent(desk)
 
-    def ended(self, now: float, attempt: int, status: Status) -> None:
+    def attempt_ended(self, now: float, attempt: int, status: Status) -> None:
         """An attempt has ended; ignored if it was already counted as timed out or is older than its zone's state."""
         at, desk = self.open_attempts.pop(attempt, (0.0, ""))
         if desk in self.desks and status in (*FAILURES, *RESPONSES):
@@ -73,7 +73,7 @@
         self.divisor, self.votes = max(1, divisor), dict(others)
         for attempt, (at, _) in list(self.open_attempts.items()):
             if now - at > self.stall:  # counted now, as it may end much later
-                self.ended(now, attempt, Status.TIMEOUT)
+                self.attempt_ended(now, attempt, Status.TIMEOUT)
         before = {number: zone.state for number, zone in self.zones.zones.items()}
         self.zones.step(now, self.vote(now), others)
         for number, zone in self.zones.zones.items():
@@ -111,7 +111,7 @@
             return replace(desk, availability=Availability.DRAINING)
         return desk
 
-    def listed(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
+    def filter_desks(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
         """Filter an update of the list of desks; `whole`: it is the complete list."""
         desks = list(desks)
         if whole:
@@ -127,7 +127,7 @@
         self.reported |= {one.ident: one for one in found if one.availability != Availability.GONE}
         return found
 
-    def changed(self, now: float, unix_ms: float) -> list[Desk]:
+    def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
         """Desks that the module must be given again, as their availability has changed since the last report."""
         found = []
         for name, desk in self.desks.items():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -121,51 +121,53 @@
             Desk("b", "", 1, 1, Availability.READY, 0.0),
             Desk("c", "", 0, 0, Availability.DRAINING, 0.0),
         ]
-        self.assertEqual(zone_filter.listed(0.0, 1e9, desks, True), desks)
+        self.assertEqual(zone_filter.filter_desks(0.0, 1e9, desks, True), desks)
         zone_filter.force("x", "out")
         zone_filter.step(1.0, {}, 1)
-        (changed,) = zone_filter.changed(1.0, 1e9)
+        (changed,) = zone_filter.changed_desks(1.0, 1e9)
         self.assertEqual((changed.ident, changed.availability), ("a", Availability.DRAINING))
         zone_filter.force("x", "auto")
         zone_filter.step(2.0 + MIN_OUT_S, {}, 1)
-        zone_filter.changed(2.0 + MIN_OUT_S, 2e9)
+        zone_filter.changed_desks(2.0 + MIN_OUT_S, 2e9)
         seen = []
         for step in range(200):
             now = 2.0 + MIN_OUT_S + TRICKLE_S + step / 10
             zone_filter.step(now, {}, 1)
-            seen += zone_filter.changed(now, 2e9)
+            seen += zone_filter.changed_desks(now, 2e9)
         self.assertTrue({one.availability for one in seen} == {Availability.READY, Availability.DRAINING})
         self.assertEqual({one.since_ms for one in seen}, {2e9})  # one cold start, at the return
         zone_filter.step(60.0, {}, 1)
-        zone_filter.changed(60.0, 3e9)
+        zone_filter.changed_desks(60.0, 3e9)
         self.assertEqual(
             (zone_filter.reported["a"].availability, zone_filter.reported["a"].since_ms), (Availability.READY, 2e9)
         )
-        self.assertEqual(zone_filter.listed(61.0, 3e9, desks[1:], True), desks[1:])
+        self.assertEqual(zone_filter.filter_desks(61.0, 3e9, desks[1:], True), desks[1:])
         self.assertNotIn("a", zone_filter.reported)
 
     def test_vote_omits_observations_of_a_zone_that_is_out(self) -> None:
         zone_filter = ZoneFilter(("x", "y"), 1, DESK_CAPACITY, 1.5)
-        zone_filter.listed(0.0, 0.0, [Desk(f"d{n}", "", n // 2, 0, Availability.READY, 0.0) for n in range(4)], True)
+        zone_filter.filter_desks(
+            0.0, 0.0, [Desk(f"d{n}", "", n // 2, 0, Availability.READY, 0.0) for n in range(4)], True
+        )
         for number in range(12):
-            zone_filter.sent(1.0, number, f"d{number % 4}")
+            zone_filter.attempt_started(1.0, number, f"d{number % 4}")
             if number % 4 < 2:
-                zone_filter.ended(1.1, number, Status.RESET)
+                zone_filter.attempt_ended(1.1, number, Status.RESET)
             elif number < 8:
-                zone_filter.ended(1.1, number, Status.OK)
+                zone_filter.attempt_ended(1.1, number, Status.OK)
         self.assertEqual(zone_filter.vote(1.2), Vote(3, 1, 0))
         for step in range(10):
             zone_filter.step(1.2 + step / 10, {}, 1)
-        zone_filter.sent(1.0, 20, "d0")
-        zone_filter.ended(2.5, 20, Status.TIMEOUT)  # sent before the zone was left
+        zone_filter.attempt_started(1.0, 20, "d0")
+        zone_filter.attempt_ended(2.5, 20, Status.TIMEOUT)  # sent before the zone was left
         self.assertEqual(zone_filter.vote(2.5), Vote(2, 0, 1))
 
     def test_stalled_attempt_counts_once_and_before_its_end(self) -> None:
         zone_filter = ZoneFilter(("x", "y"), 1, DESK_CAPACITY, 1.5)
-        zone_filter.listed(0.0, 0.0, [Desk("a", "", 0, 0, Availability.READY, 0.0)], True)
-        zone_filter.sent(0.0, 7, "a")
+        zone_filter.filter_desks(0.0, 0.0, [Desk("a", "", 0, 0, Availability.READY, 0.0)], True)
+        zone_filter.attempt_started(0.0, 7, "a")
         zone_filter.step(1.6, {}, 1)
-        zone_filter.ended(6.0, 7, Status.TIMEOUT)
+        zone_filter.attempt_ended(6.0, 7, Status.TIMEOUT)
         self.assertEqual([len(one) for one in zone_filter.observations.outcomes.values()], [1])
 
 
--- a/tests/zoned.py
+++ b/tests/zoned.py
@@ -52,7 +52,7 @@
         self.limit_divisors = {name: LimitDivisor(agents) for name in self.names}
         self.ready: dict[str, dict[str, Desk]] = {}
         for name, one in self.filters.items():
-            self.ready[name] = {desk.ident: desk for desk in one.listed(0.0, 0.0, self.desks, True)}
+            self.ready[name] = {desk.ident: desk for desk in one.filter_desks(0.0, 0.0, self.desks, True)}
         self.zone_faults: dict[int, str] = {}  # by zone: "dead" (connects fail) or "hangs" (no response)
         self.stalled_links: set[tuple[str, int]] = set()  # (agent, zone)
         self.outcomes: list[tuple[float, int, str, int, Status]] = []
@@ -73,7 +73,7 @@
             self.net.run(STEP_S)
             while self.outcomes and self.outcomes[0][0] <= self.now:
                 _, number, name, _, status = heapq.heappop(self.outcomes)
-                self.filters[name].ended(self.now, number, status)
+                self.filters[name].attempt_ended(self.now, number, status)
             for name in self.names:
                 if self.net.address(name) in self.net.swims:
                     self._agent(name)
@@ -107,7 +107,7 @@
                 self._call(name, self.rng.choice(ready))
 
     def _update_ready(self, name: str) -> None:
-        for desk in self.filters[name].changed(self.now, 1e6 + self.now * 1000.0):
+        for desk in self.filters[name].changed_desks(self.now, 1e6 + self.now * 1000.0):
             self.ready[name][desk.ident] = desk
 
     def _poisson(self, mean: float) -> int:
@@ -118,7 +118,7 @@
 
     def _call(self, name: str, desk: Desk) -> None:
         number = next(self.order)
-        self.filters[name].sent(self.now, number, desk.ident)
+        self.filters[name].attempt_started(self.now, number, desk.ident)
         self._update_ready(name)
         fault = "hangs" if (name, desk.zone) in self.stalled_links else self.zone_faults.get(desk.zone, "")
         duration, status = {
