--- a/seamlb/agree/council.py
+++ b/seamlb/agree/council.py
@@ -1,7 +1,7 @@
-"""A council member: votes on the next charter, gives leases on the newest, says when the one before is out of use.
+"""A voter: votes on the next version, grants leases on the newest, reports when older leases have expired.
 
-Pure. A charter of number n is decided as one value by majority (Lamport's single-decree synod, a slot a number); slot
-n + 1 opens once n is in force. docs/design/agree.md has the invariants, A1 to A5, that the comments name.
+Pure. Version n is decided as one value by majority (Lamport's single-decree synod, one slot per version number); slot
+n + 1 opens once version n is in force. docs/design/agree.md has the invariants that the comments name: A1 to A5.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from seamlb.agree.notes import MAX_CLOCK_DRIFT, NO_BALLOT, Ballot, Kind, Message
 
 Outgoing = list[tuple[str, Message]]
-STATE_INTERVAL = 0.2  # part of a lease between two words to the other members
-VOTE_TIMEOUT = 0.1  # of a lease: delay before a vote without a result is retried, times a random 1 to 2
-MAX_BACKOFF = 8.0  # the delay doubles with each retry up to this factor, for networks with long delays
+STATE_INTERVAL = 0.2  # of a lease, between two STATE messages to the other voters
+VOTE_TIMEOUT = 0.1  # of a lease, until a vote without a result is retried; times a random factor from 1 to 2
+MAX_BACKOFF = 8.0  # the timeout doubles with each retry up to this factor, so that slow networks get a vote through
 
 
 @dataclass(slots=True)
 class Proposal:
-    """One that we have begun."""
+    """A vote that this voter has started."""
 
     ballot: Ballot
-    wanted: ConfigVersion | None  # what we want; None: only to end what another left open
-    retry_at: float
+    wanted: ConfigVersion | None  # what we propose; None: only to finish a vote that another voter left open
+    retry_at: float  # seconds
     backoff: float
     promises: dict[str, tuple[Ballot, bytes]] = field(default_factory=dict)
-    value: ConfigVersion | None = None  # what we must put to the vote
+    value: ConfigVersion | None = None  # sent in ACCEPT: `wanted`, or what may have been chosen already
     accepted_by: set[str] = field(default_factory=set)
 
 
 class Voter:
-    """One member; `save` puts bytes on the disk and raises OSError if it is not known to be there."""
+    """`save` writes bytes to disk and raises OSError unless they are known to be there; times are in seconds."""
 
     def __init__(
         self,
@@ -47,17 +47,17 @@
         rng: random.Random,
     ) -> None:
         self.name, self.epoch, self.lease, self.state, self.save, self.rng = name, epoch, lease, state, save, rng
-        self.halt_reason = ""  # why we vote no more; the process has to be started anew on a disk that holds
-        # What we granted before our start is forgotten: it is over only by then. (A3) Until then we vote and lend
-        # nothing, and whoever remembers more of us than our disk has can say so. (A5)
+        self.halt_reason = ""  # why we don't vote anymore; needs a restart, on a disk that works
+        # After a restart we don't know which leases we granted; until those have expired (A3) we neither vote nor
+        # grant, and voters that saw a later state of ours than our disk has can tell us so (A5).
         self.inactive_until = now + lease * (1 + MAX_CLOCK_DRIFT)
-        self.grants: dict[str, tuple[int, float]] = {}  # agent: the charter it may act on, and until when
-        self.cleared: dict[str, int] = {}  # member: the charter before whose number all its leases are over
-        self.fences: dict[str, tuple[int, int]] = {}  # member: the highest `born` and `saved` heard
+        self.grants: dict[str, tuple[int, float]] = {}  # by agent: version number of its lease, and the expiry
+        self.cleared: dict[str, int] = {}  # by voter: all its leases on versions before this number have expired
+        self.fences: dict[str, tuple[int, int]] = {}  # by voter: the highest `epoch` and `writes` seen
         self.proposal: Proposal | None = None
         self.state_due_at = now
         self.log_lines: list[tuple[str, dict[str, object]]] = []
-        self.accepted_at = now  # when something was accepted in the open slot
+        self.accepted_at = now  # when we last accepted a version in the open slot
 
     @property
     def newest(self) -> ConfigVersion:
@@ -65,12 +65,12 @@
         return self.state.newest
 
     def in_force(self) -> bool:
-        """Are all leases on what came before over, as majorities of both councils say? (A2)"""
-        over = {one for one, number in self.cleared.items() if number >= self.newest.number}
-        return all(len(over & set(one.voters)) >= one.majority for one in (self.state.previous, self.newest))
+        """Have all leases on earlier versions expired, according to majorities of the old and new voters? (A2)"""
+        expired = {voter for voter, number in self.cleared.items() if number >= self.newest.number}
+        return all(len(expired & set(one.voters)) >= one.majority for one in (self.state.previous, self.newest))
 
     def _persist(self, **change: object) -> bool:
-        """Put a change on the disk; False if the disk failed, and then nothing of it may be told. (A1)"""
+        """Writes a change to disk; False if that failed, and then no message may reveal the change. (A1)"""
         if self.halt_reason:
             return False
         new = replace(self.state, writes=self.state.writes + 1, **change)  # type: ignore[arg-type]
@@ -82,10 +82,10 @@
         self.state = new
         return True
 
-    def _halt(self, why: str) -> None:
+    def _halt(self, reason: str) -> None:
         if not self.halt_reason:
-            self.halt_reason, self.proposal = why, None
-            self.log_lines.append(("council_out", {"reason": why}))
+            self.halt_reason, self.proposal = reason, None
+            self.log_lines.append(("council_out", {"reason": reason}))
 
     def _message(self, kind: Kind, **more: object) -> Message:
         return Message(kind, self.name, self.epoch, self.state.writes, **({"slot": self.newest.number} | more))  # type: ignore[arg-type]
@@ -94,34 +94,34 @@
         return sorted({*self.newest.voters, *self.state.previous.voters} - {self.name})
 
     def tick(self, now: float) -> Outgoing:
-        """Time has passed; call it ten times a lease, or oftener."""
+        """Advances time; must be called at least ten times per lease."""
         if self.halt_reason:
             return []
-        self.grants = {agent: one for agent, one in self.grants.items() if one[1] > now}
+        self.grants = {agent: grant for agent, grant in self.grants.items() if grant[1] > now}
         out: Outgoing = []
-        number, still = self.newest.number, any(on < self.newest.number for on, _ in self.grants.values())
-        if self.cleared.get(self.name, 0) < number and now >= self.inactive_until and not still:
+        number, old_leases = self.newest.number, any(on < self.newest.number for on, _ in self.grants.values())
+        if self.cleared.get(self.name, 0) < number and now >= self.inactive_until and not old_leases:
             self.cleared[self.name], self.state_due_at = number, now
         if now >= self.state_due_at:
             self.state_due_at = now + self.lease * STATE_INTERVAL
             message = self._message(Kind.STATE, cleared=self.cleared.get(self.name, 0))
-            out += [(one, message) for one in self._other_voters()]
+            out += [(voter, message) for voter in self._other_voters()]
         if self.proposal and now >= self.proposal.retry_at:
             out += self._start_ballot(now, self.proposal.wanted)
         elif self.proposal is None and self.state.accepted and now - self.accepted_at > self.lease * VOTE_TIMEOUT * 5:
-            out += self._start_ballot(now, None)  # whoever began it is gone
+            out += self._start_ballot(now, None)  # the voter that started the vote is gone
         return out
 
     def propose(self, now: float, version: ConfigVersion) -> tuple[str, Outgoing]:
-        """Put a charter to the vote: why not, or empty, and what to send. Whether it is chosen shows in `newest`."""
+        """Starts a vote: the reason for a refusal or "", and messages to send. `newest` shows what was chosen."""
         if self.halt_reason:
             return self.halt_reason, []
         if self.name not in self.newest.voters:
-            return "not a member of the council", []
-        if why := version.succession_error(self.newest):
-            return why, []
+            return "not a voter", []
+        if reason := version.succession_error(self.newest):
+            return reason, []
         if not self.in_force():
-            return f"charter {self.newest.number} is not in force yet", []
+            return f"version {self.newest.number} is not in force yet", []
         return "", self._start_ballot(now, version)
 
     def _start_ballot(self, now: float, wanted: ConfigVersion | None) -> Outgoing:
@@ -134,13 +134,13 @@
             ballot, wanted, now + self.lease * VOTE_TIMEOUT * backoff * (1 + self.rng.random()), backoff
         )
         message = self._message(Kind.PREPARE, slot=self.newest.number + 1, ballot=ballot)
-        return [(one, message) for one in self.newest.voters]
+        return [(voter, message) for voter in self.newest.voters]
 
     def _is_open(self, slot: int) -> bool:
         return slot == self.newest.number + 1 and self.in_force()
 
     def _on_request(self, now: float, message: Message) -> Outgoing:
-        """PREPARE or ACCEPT."""
+        """Answers PREPARE or ACCEPT."""
         if now < self.inactive_until:
             return []
         if not self._is_open(message.slot) or message.ballot < self.state.promised:
@@ -161,11 +161,11 @@
                 )
             ]
         try:
-            wrong = decode(message.body).succession_error(self.newest)
+            error_text = decode(message.body).succession_error(self.newest)
         except VersionError as error:
-            wrong = str(error)
-        if wrong:
-            self.log_lines.append(("council_refused", {"from": message.sender, "reason": wrong}))
+            error_text = str(error)
+        if error_text:
+            self.log_lines.append(("council_refused", {"from": message.sender, "reason": error_text}))
             return []
         if not self._persist(promised=message.ballot, accepted_ballot=message.ballot, accepted=message.body):
             return []
@@ -179,13 +179,13 @@
         ours.promises[message.sender] = message.accepted_ballot, message.body
         if len(ours.promises.keys() & set(self.newest.voters)) < self.newest.majority:
             return []
-        last = max(ours.promises.values())[1]  # it may have been chosen already: nothing else may be
+        last = max(ours.promises.values())[1]  # it may have been chosen already, so nothing else may be proposed
         ours.value = decode(last) if last else ours.wanted
         if ours.value is None:
             self.proposal = None
             return []
-        put = self._message(Kind.ACCEPT, slot=message.slot, ballot=ours.ballot, body=ours.value.body)
-        return [(one, put) for one in self.newest.voters]
+        accept = self._message(Kind.ACCEPT, slot=message.slot, ballot=ours.ballot, body=ours.value.body)
+        return [(voter, accept) for voter in self.newest.voters]
 
     def _on_accepted(self, now: float, message: Message) -> Outgoing:
         ours = self.proposal
@@ -194,13 +194,13 @@
         ours.accepted_by.add(message.sender)
         if len(ours.accepted_by & set(self.newest.voters)) < self.newest.majority:
             return []
-        # Agents are told by who won, lest all members tell all of them; who misses it learns of it when it asks.
+        # Only the winner notifies the agents, so that each gets one message; if lost, the next request repairs that.
         agents = sorted(self.grants.keys() - set(self._other_voters()))
         out = self._adopt(now, ours.value, self.newest)
-        return out + [(one, self._chosen_message()) for one in agents if out]
+        return out + [(agent, self._chosen_message()) for agent in agents if out]
 
     def _adopt(self, now: float, version: ConfigVersion, previous: ConfigVersion) -> Outgoing:
-        """It is decided; from now on nobody gets a lease on less from us. (A4)"""
+        """Takes over a chosen version; from now on we grant no lease on an earlier one. (A4)"""
         if version.number <= self.newest.number or not self._persist(
             newest=version, previous=previous, promised=NO_BALLOT, accepted_ballot=NO_BALLOT, accepted=b""
         ):
@@ -208,20 +208,20 @@
         self.proposal = None
         self.log_lines.append(("charter_chosen", {"number": version.number, "digest": version.digest}))
         self.state_due_at = now
-        return [(one, self._chosen_message()) for one in self._other_voters()]
+        return [(voter, self._chosen_message()) for voter in self._other_voters()]
 
     def _chosen_message(self) -> Message:
         return self._message(Kind.CHOSEN, body=self.newest.body, previous=self.state.previous.body)
 
     def on_message(self, now: float, message: Message) -> Outgoing:
-        """A note that may be believed."""
+        """Processes a message that has been authenticated."""
         if self.halt_reason:
             return []
         if message.kind == Kind.LEASE_REQUEST:
             return self._grant_lease(now, message)
         epoch, writes = self.fences.get(message.sender, (0, 0))
         if message.epoch < epoch or (message.epoch > epoch and message.writes < writes):
-            # A process before its present one, or one whose disk went back: it may have promised more. (A5)
+            # An earlier process of this voter, or one whose disk was rolled back: it may have promised more. (A5)
             self.log_lines.append(
                 ("council_fenced", {"from": message.sender, "born": message.epoch, "saved": message.writes})
             )
@@ -238,14 +238,14 @@
                 return self._on_accepted(now, message)
             case Kind.REJECTED:
                 if self.proposal and message.ballot > self.proposal.ballot:
-                    self.proposal.ballot = (message.ballot[0], self.name)  # the next round begins above it
+                    self.proposal.ballot = (message.ballot[0], self.name)  # the next ballot gets a higher number
             case Kind.STATE:
                 self.cleared[message.sender] = max(self.cleared.get(message.sender, 0), message.cleared)
                 if message.slot > self.newest.number:
                     return [(message.sender, self._message(Kind.FETCH))]
             case Kind.ROLLED_BACK:
                 if message.request_id == self.epoch and message.writes > self.state.writes:
-                    self._halt(f"the disk has gone back: {self.state.writes} after {message.writes}")
+                    self._halt(f"the disk was rolled back: state {self.state.writes} after {message.writes}")
             case Kind.FETCH:
                 return [(message.sender, self._chosen_message())]
             case Kind.CHOSEN:
@@ -256,7 +256,7 @@
         return []
 
     def _grant_lease(self, now: float, message: Message) -> Outgoing:
-        """A lease on the newest charter, to an agent that knows it; else word of it."""
+        """Grants a lease on the newest version to an agent that has it; others get that version instead."""
         number = self.newest.number
         if message.slot < number:
             return [(message.sender, self._chosen_message())]
--- a/seamlb/agree/frames.py
+++ b/seamlb/agree/frames.py
@@ -1,10 +1,10 @@
-"""Notes on a byte stream: length, key, MAC over receiver, founding charter and note. Pure.
+"""Messages on a byte stream: length, key number, MAC over receiver, digest of the founding version, message. Pure.
 
-    length 4 | key 1 | mac 16 | to 1 + n | founding 16 | note
+        length 4 | key 1 | mac 16 | to 1 + n | founding 16 | message
 
-The length counts what follows it; numbers are big-endian. What is signed by no key of ours, is not for us, or is of a
-site with another founding charter is counted and dropped, and the stream goes on; a length that can't be ends it.
-Frames may be repeated by whoever holds the wire: notes are made for that (agree/council.py).
+The length counts what follows it; numbers are big-endian. A frame that has no valid signature, is for another
+receiver or of a site with another founding version is counted and dropped, and reading continues; an invalid length
+ends the stream. An attacker may replay frames: messages tolerate that (agree/council.py).
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from seamlb.agree.notes import Message, decode
 
 MAC_BYTES = 16
-DIGEST_BYTES = 16  # bytes of a charter's digest
-MAX_FRAME_BYTES = 8 * MAX_VERSION_BYTES  # two charters, whose quotation marks are written as two characters
+DIGEST_BYTES = 16  # of a version's digest
+MAX_FRAME_BYTES = 8 * MAX_VERSION_BYTES  # two versions, in which each quotation mark is escaped to two characters
 HEADER = struct.Struct(">IB")
 
 
 class FrameError(ValueError):
-    """A stream that can't be read on."""
+    """A stream that can't be read any further."""
 
 
 class Codec:
-    """One process's side: its name, its site's founding charter and its keys, which may be rotated."""
+    """One process's encoder and decoder: its name, the founding version of its site, and its keys."""
 
     def __init__(self, name: str, founding_digest: str, accepted_keys: Mapping[int, bytes], signing_key: int) -> None:
         self.name, self.founding_digest = name, bytes.fromhex(founding_digest)
@@ -37,11 +37,11 @@
         self.rotate(accepted_keys, signing_key)
 
     def rotate(self, accepted_keys: Mapping[int, bytes], signing_key: int) -> None:
-        """Other keys from now on: all of them are taken, one signs."""
+        """Replaces the keys: signatures with any of them are accepted, one signs."""
         self.accepted_keys, self.signing_key = dict(accepted_keys), signing_key
 
     def encode(self, to: str, message: Message) -> bytes:
-        """One frame."""
+        """Encodes one frame."""
         name = to.encode()
         body = bytes([len(name)]) + name + self.founding_digest + message.encode()
         return (
@@ -51,7 +51,7 @@
         )
 
     def decode(self, key: int, signed: bytes) -> Message | None:
-        """The note of a frame; None: it was counted and dropped."""
+        """Decodes and verifies a frame; None if it was counted and dropped."""
         mac, body = signed[:MAC_BYTES], signed[MAC_BYTES:]
         if key not in self.accepted_keys or not compare_digest(_mac(self.accepted_keys[key], body), mac):
             return self._drop("wrong signature")
@@ -71,13 +71,13 @@
 
 
 class FrameReader:
-    """One stream's bytes into notes."""
+    """Splits a byte stream into messages."""
 
     def __init__(self, codec: Codec) -> None:
         self.codec, self.buffer = codec, bytearray()
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Notes that are whole now; FrameError."""
+        """Yields the messages that are complete; raises FrameError."""
         self.buffer += data
         while len(self.buffer) >= HEADER.size:
             length, key = HEADER.unpack_from(self.buffer)
@@ -93,7 +93,7 @@
 
     @property
     def partial(self) -> bool:
-        """Has a part of a frame come?"""
+        """Has part of a frame arrived?"""
         return bool(self.buffer)
 
 
--- a/seamlb/agree/holder.py
+++ b/seamlb/agree/holder.py
@@ -1,6 +1,7 @@
-"""What one agent acts on now: a charter, the guard of two, or what it may do alone. Pure.
+"""The rules that one agent applies now: those of a version, of a transition, or the fallback values. Pure.
 
-It counts by its own clock, which must not stop while the machine sleeps, and looks at it whenever it acts.
+Time is the agent's own clock in seconds, which must also count while the machine sleeps. It is checked on every use
+of the rules.
 """
 
 from __future__ import annotations
@@ -13,32 +14,32 @@
 from seamlb.agree.notes import Kind, Message
 from seamlb.agree.relations import Value
 
-RENEW_AFTER = 0.3  # part of a lease between two questions for the next
+RENEW_AFTER = 0.3  # part of a lease between two requests for its renewal
 Outgoing = list[tuple[str, Message]]
 
 
 class LeaseState(StrEnum):
-    """By what right an agent acts."""
+    """Which rules an agent may apply; the values appear in logs and in `/admin/agree`."""
 
-    IN_FORCE = "in force"
-    TRANSITION = "guard"
-    FALLBACK = "alone"
+    IN_FORCE = "in force"  # the newest version
+    TRANSITION = "guard"  # values that comply with both the newest version and the one before
+    FALLBACK = "alone"  # no lease: the fallback values
 
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """One request for a lease on the newest charter, and the members that have granted it."""
+    """A request for a lease on the newest version, and the voters that have granted it."""
 
-    sent_at: float
+    sent_at: float  # seconds
     granted_by: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """One agent; `newest` and `before` may be what a restart found on the disk, as they give no right to act.
+    """The lease of one agent. `newest` and `previous` may come from disk, as they permit nothing without a lease.
 
-    `ask` begins above all that the process before can have reached (Unix microseconds do): an answer to one of its
-    questions would else give a lease that nobody knows of.
+    `request_id` must start above all IDs that the previous process can have used (Unix microseconds do): otherwise a
+    reply to one of its requests would give this process a lease that the voters have no record of.
     """
 
     name: str
@@ -47,27 +48,25 @@
     previous: ConfigVersion
     now: float
     request_id: int
-    expires_at: float = 0.0  # end of the lease, by our clock
-    newest_in_force: int = 0  # the newest charter that is known to be in force
-    requests: dict[int, LeaseRequest] = field(default_factory=dict)  # by `ask`, those younger than a lease
+    expires_at: float = 0.0  # seconds of our clock
+    newest_in_force: int = 0  # number of the newest version that is known to be in force
+    requests: dict[int, LeaseRequest] = field(default_factory=dict)  # by request ID, those younger than a lease
     next_request_at: float = 0.0
-    conflicting: bool = (
-        False  # do the two charters contradict? Looked at once a charter, as `stance` is asked all the time
-    )
+    conflicting: bool = False  # do the two versions conflict? Cached, as `lease_state` is called for every event
 
     def __post_init__(self) -> None:
         self._set_versions(self.newest, self.previous)
 
     def restore(self, newest: ConfigVersion, previous: ConfigVersion) -> None:
-        """What a restart found on the disk: no right to act, but where to begin."""
+        """Uses versions that were loaded from disk; they give no lease."""
         self._set_versions(newest, previous)
 
     def _set_versions(self, newest: ConfigVersion, previous: ConfigVersion) -> None:
         self.newest, self.previous, self.conflicting = newest, previous, bool(newest.conflicts_with(previous))
-        self.requests = {}  # they asked for leases on the charter before
+        self.requests = {}  # they were for leases on the version before
 
     def lease_state(self, now: float) -> LeaseState:
-        """What holds at this moment; ask anew for each thing done."""
+        """The state at this moment; call it again before each use of the rules."""
         if now >= self.expires_at:
             return LeaseState.FALLBACK
         if self.newest_in_force >= self.newest.number or not self.conflicting:
@@ -75,35 +74,35 @@
         return LeaseState.TRANSITION
 
     def values(self, now: float) -> Mapping[str, Value]:
-        """The rules to act on at this moment, by field."""
+        """The rules to apply at this moment, by name."""
         match self.lease_state(now):
             case LeaseState.IN_FORCE:
-                return {name: one.value for name, one in self.newest.rules.items()}
+                return {name: rule.value for name, rule in self.newest.rules.items()}
             case LeaseState.TRANSITION:
                 return transition_values(self.previous, self.newest)
         return fallback_values(self.newest)
 
     def tick(self, now: float) -> Outgoing:
-        """Time has passed; call it ten times a lease, or oftener."""
+        """Advances time; must be called at least ten times per lease."""
         self.now = now
         return self._request_lease(now) if now >= self.next_request_at else []
 
     def _request_lease(self, now: float) -> Outgoing:
-        # Who has no lease, or waits for a charter to come in force, asks more often.
+        # Without a lease, or while a version is not yet in force, requests are sent more often.
         self.next_request_at = now + self.lease * (
             RENEW_AFTER if self.lease_state(now) is LeaseState.IN_FORCE else RENEW_AFTER / 3
         )
         self.request_id += 1
-        # Requests that are out stay valid: a round trip may take longer than the time to the next request.
+        # Earlier requests stay valid: a round trip may take longer than the time to the next request.
         self.requests = {
-            request_id: one for request_id, one in self.requests.items() if one.sent_at + self.lease > now
+            request_id: request for request_id, request in self.requests.items() if request.sent_at + self.lease > now
         }
         self.requests[self.request_id] = LeaseRequest(now)
         message = Message(Kind.LEASE_REQUEST, self.name, slot=self.newest.number, request_id=self.request_id)
-        return [(one, message) for one in sorted({*self.newest.voters, *self.previous.voters})]
+        return [(voter, message) for voter in sorted({*self.newest.voters, *self.previous.voters})]
 
     def on_message(self, now: float, message: Message) -> Outgoing:
-        """A member's answer, or word of a newer charter."""
+        """Processes a reply of a voter or the notification of a newer version."""
         self.now = now
         if message.kind == Kind.CHOSEN:
             try:
@@ -113,9 +112,10 @@
             if newest.number <= self.newest.number:
                 return []
             if newest.number > self.newest.number + 1 or newest.voters != self.newest.voters:
-                self.expires_at = 0.0  # what lies between is not known, or others will say that our lease is over
-            # Else the lease goes on: the guard keeps within the charter that it is for, and the next but one can't
-            # come in force before a majority, so one at least of those who gave it, have seen it end.
+                self.expires_at = 0.0  # unknown versions lie between, or other voters decide when our lease is over
+            # Otherwise the lease continues: the transition values comply with the version it was granted for, and
+            # the version after next can't come into force before a majority of the voters, and so at least one that
+            # granted the lease, has seen it expire.
             self._set_versions(newest, previous)
             return self._request_lease(now)
         if message.kind == Kind.LEASE_GRANT and message.slot == self.newest.number:
@@ -123,7 +123,7 @@
         return []
 
     def _on_grant(self, message: Message) -> None:
-        """A member has granted one of our requests; a majority's grants make the lease, counted from the request."""
+        """Counts a voter's grant; with those of a majority the lease is valid, starting when the request was sent."""
         request = self.requests.get(message.request_id)
         if request is None:
             return
--- a/seamlb/agree/kept.py
+++ b/seamlb/agree/kept.py
@@ -1,4 +1,4 @@
-"""What a council member has on the disk before it tells anything of it; pure."""
+"""The state that a voter writes to disk before it sends a message that depends on it; pure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class PersistedState:
-    """`promised`, `voted` and `accepted` are of the open slot; `saved` counts records and only goes up."""
+    """`promised` and `accepted*` are about the open slot; `writes` counts the writes to disk and only grows."""
 
     newest: ConfigVersion
     previous: ConfigVersion
@@ -22,7 +22,7 @@
     writes: int = 0
 
     def encode(self) -> bytes:
-        """The record's bytes."""
+        """Serializes the state."""
         return orjson.dumps(
             [
                 self.newest.body.decode(),
@@ -36,7 +36,7 @@
 
 
 def decode_state(body: bytes) -> PersistedState:
-    """From a record; ValueError."""
+    """Parses a serialized state; raises ValueError."""
     newest, previous, promised, accepted_ballot, accepted, writes = orjson.loads(body)
     return PersistedState(
         decode(newest.encode()),
--- a/seamlb/agree/link.py
+++ b/seamlb/agree/link.py
@@ -1,7 +1,7 @@
-"""Agreed versions on sockets: carries notes between agents and the council, and has the agent act by the rules.
+"""Version agreement on sockets: exchanges messages between agents and voters, and has the agent apply the rules.
 
-Each process dials the members of the council that it has something for, and answers on the connection by which it was
-asked, as only members have an address. A note that finds no connection is lost; all of them are said again in time.
+Each process connects to the voters that it has messages for. Replies use the connection that the request came on, as
+only voters have an address. A message without a connection is lost; all messages are repeated periodically.
 """
 
 from __future__ import annotations
@@ -24,43 +24,43 @@
 from seamlb.net.listener import Listener
 from seamlb.net.reason import CloseReason
 
-STEPS_PER_LEASE = 20  # looks a lease
-MAX_SILENT_LEASES = 1.0  # leases after which a connection on which requests have no answer is dialled anew
-REDIAL_DELAY = 0.3  # leases between two tries to reach a member
-MAX_UNSENT = 8  # notes that wait for a connection to come up; of more the newest, as notes are said again
-SPARE_CONNECTIONS = 64  # connections beyond one an agent
+STEPS_PER_LEASE = 20  # periodic steps
+MAX_SILENT_LEASES = 1.0  # leases after which a connection with an unanswered request is replaced
+REDIAL_DELAY = 0.3  # leases between two attempts to connect to a voter
+MAX_UNSENT = 8  # messages that wait for a connection; older ones are dropped, as messages are repeated
+SPARE_CONNECTIONS = 64  # connections in addition to one per agent
 
 
 def clock() -> float:
-    """Seconds that also count while the machine sleeps, and that nobody sets."""
+    """Seconds on a clock that also counts while the machine sleeps and that is never adjusted."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class AgreementService:
-    """One process among a site's agents."""
+    """The agreement of one process with the other agents of its site."""
 
-    def __init__(self, config: AgreeSettings, name: str, zones: tuple[str, ...], look: Callable[[], None]) -> None:
+    def __init__(self, config: AgreeSettings, name: str, zones: tuple[str, ...], refresh: Callable[[], None]) -> None:
         self.config, self.name = config, name
-        self.look = look  # has the agent act on what `acting` says now
+        self.refresh = refresh  # has the agent apply what `enforcer` has now
         self.codec = Codec(name, config.first.digest, config.accepted_keys, config.signing_key)
         self.participant = Participant(name, config.first, config.lease, config.state, clock, self._post)
         self.enforcer = RuleEnforcer(self.participant.holder, zones, clock)
         self.listener = Listener("agree", len(config.first.agents) + SPARE_CONNECTIONS, self._on_accept)
-        self.outbound: dict[str, Connection] = {}  # ours, by member
-        self.unanswered_since: dict[str, float] = {}  # when we first sent a request on it with nothing heard since
-        self.unsent: dict[str, deque[bytes]] = {}  # by member that is being dialled
+        self.outbound: dict[str, Connection] = {}  # that we opened, by voter
+        self.unanswered_since: dict[str, float] = {}  # by voter: seconds at the first request without an answer
+        self.unsent: dict[str, deque[bytes]] = {}  # by voter that we are connecting to
         self.tasks: set[asyncio.Task[None]] = set()
-        self.inbound: dict[str, Connection] = {}  # by which others came, by name
+        self.inbound: dict[str, Connection] = {}  # that others opened, by their names
         self.loop: asyncio.AbstractEventLoop | None = None
         self.dropped = 0
 
     async def run(self) -> None:
-        """Take the folder, listen, and go on until cancelled."""
+        """Locks the folder, listens, and runs until cancelled."""
         self.loop = asyncio.get_running_loop()
         step = self.config.lease / STEPS_PER_LEASE
         while not self.participant.start():
             self.log_changes()
-            await asyncio.sleep(step)  # the process before this one has it; until it ends this one acts alone
+            await asyncio.sleep(step)  # the previous process still has the folder; until it ends, use fallback values
         while self.config.listen and not self.listener.port:
             try:
                 self.listener.bind_and_listen(self.config.listen)
@@ -72,13 +72,13 @@
             try:
                 self.participant.tick()
                 self.log_changes()
-            except Exception as error:  # must not end the calls, nor the versions
+            except Exception as error:  # must end neither the calls nor the agreement
                 log.event("fault", where="agree", error=repr(error), trace=log.trace(error))
             await asyncio.sleep(step)
 
     def log_changes(self) -> None:
-        """Log what is acted on, where that has changed, and what was dropped."""
-        self.look()
+        """Logs changes of the rules in use, and dropped frames each time that their number has doubled."""
+        self.refresh()
         for lease_state, version, since in self.enforcer.state_changes:
             log.event(
                 "agree_acts",
@@ -92,15 +92,13 @@
             self.dropped = dropped
             log.event("agree_dropped", **self.codec.dropped)
 
-    # -- notes --------------------------------------------------------------------------------
-
     def _post(self, out: Outgoing, log_lines: LogLines) -> None:
         if self.loop and (out or log_lines):
             self.loop.call_soon_threadsafe(self._send, out, log_lines)
 
     def _send(self, out: Outgoing, log_lines: LogLines) -> None:
-        for event, facts in log_lines:
-            log.event(event, **facts)
+        for event, fields in log_lines:
+            log.event(event, **fields)
         for to, message in out:
             if to == self.name:
                 self._on_message(message)
@@ -108,7 +106,7 @@
                 self._send_to(to, message)
 
     def _send_to(self, to: str, message: Message) -> None:
-        """An answer goes back on the connection by which its receiver dialled us; requests go to members only."""
+        """Replies use the connection that the receiver opened; anything else goes to voters only."""
         data, route = self.codec.encode(to, message), self.inbound.get(to)
         is_reply = message.kind in REPLIES and route is not None and not route.closed
         if to in self.config.voter_addresses and not is_reply:
@@ -117,16 +115,16 @@
             route.send(data)
 
     def _on_message(self, message: Message) -> None:
-        """Have the agent act on what a note brings before any answer to it leaves.
+        """Has the agent apply the rules that a message brings before any reply is sent.
 
-        Once we have said that we know a charter, the one before it may go out of force at any moment; what we act on
-        until the next step, and log as acted on, must not be the one before.
+        Once we have confirmed a version, the one before may cease to be in force at any moment: we must not apply it,
+        or log it as applied, until the next step.
         """
         self.participant.on_message(message)
-        self.look()
+        self.refresh()
 
     def _send_to_voter(self, to: str, data: bytes, expects_reply: bool) -> None:
-        """Send on a connection of ours, which is dialled anew if a request on it has had no answer for too long."""
+        """Sends on a connection that we opened, and replaces that if a request has been unanswered for too long."""
         connection, now = self.outbound.get(to), clock()
         if (
             connection
@@ -150,7 +148,7 @@
         try:
             connection = await connect(self.config.voter_addresses[to], "agree", self.config.lease)
         except ConnectError:
-            await asyncio.sleep(REDIAL_DELAY * self.config.lease)  # each try leaves a line in the log
+            await asyncio.sleep(REDIAL_DELAY * self.config.lease)  # limits the log, as each attempt writes a line
             return
         finally:
             unsent = self.unsent.pop(to)
@@ -190,20 +188,20 @@
             self.inbound[sender] = connection
 
     def rotate(self, accepted_keys: Mapping[int, bytes], signing_key: int) -> None:
-        """Other keys from now on."""
+        """Replaces the keys."""
         self.codec.rotate(accepted_keys, signing_key)
 
     def propose(self, body: str) -> str:
-        """Put rules to the vote; why not, or empty."""
+        """Proposes a change; returns the reason for a refusal, or ""."""
         return self.participant.propose(body.encode())
 
     def status(self) -> dict[str, Any]:
-        """What `/admin/agree` shows."""
-        self.look()
+        """The content of `/admin/agree`."""
+        self.refresh()
         return self.participant.status() | {"dropped": dict(self.codec.dropped)}
 
     def close(self) -> None:
-        """End all connections and let go of the folder."""
+        """Closes all connections and releases the folder."""
         self.listener.stop()
         for connection in {*self.listener.connections, *self.outbound.values()}:
             connection.close(CloseReason.SHUTDOWN)
--- a/seamlb/agree/lists.py
+++ b/seamlb/agree/lists.py
@@ -1,10 +1,10 @@
-"""One list of desks out of several sources, by a vector of their versions. Pure.
+"""Merges the desk lists of several sources, using a vector of their revisions. Pure.
 
-A desk is there if a source names it, and as free as the strictest that does: whoever drains it, it drains. A source
-is heard directly (its own revisions, in any order) or through other agents, who pass on what was drained or taken
-out; an agent that is behind a source never brings back what a newer revision took out, whichever way it heard of
-that. A revision has to mean the same at all agents: the notice board's event numbers don't (they begin anew with each
-agent), its pool's revision does.
+A desk is listed if any source lists it, with the strictest status of those: a source that drains a desk drains it for
+all. An agent gets a source's revisions directly, in any order, or entries from other agents, which pass on what was
+drained or removed. Neither way can an agent that lags behind bring back what a newer revision has removed. A revision
+has to mean the same at all agents: the notice board's event numbers don't (they start anew with each agent), the
+revision of its pool does.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class DeskStatus(IntEnum):
-    """What a source says of a desk; the higher, the stricter."""
+    """Status of a desk at one source; higher values are stricter."""
 
     READY = 0
     DRAINING = 1
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """What one source said of one desk in one of its revisions."""
+    """The status of one desk in one revision of one source."""
 
     source: str
     revision: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Source:
-    """`revision`: up to which all is known here; `words`: the newest of each desk, also those passed on to us."""
+    """`revision`: complete up to there; `entries`: the newest of each desk, including those from other agents."""
 
     revision: int = 0
     entries: dict[str, Entry] = field(default_factory=dict)
@@ -48,14 +48,14 @@
 
     @property
     def vector(self) -> dict[str, int]:
-        """Up to which revision each source is known here."""
-        return {name: one.revision for name, one in self.sources.items()}
+        """By source, the revision up to which its list is complete here."""
+        return {name: source.revision for name, source in self.sources.items()}
 
     def apply_revision(self, source: str, revision: int, desks: Mapping[str, DeskStatus], whole: bool) -> set[str]:
-        """A source's own revision: all its desks, or (`whole` false) those that changed since the one before.
+        """Applies a source's revision: all its desks or, if `whole` is false, the changes since the one before.
 
-        Returns the desks whose state here may have changed. A change that leaves a gap is taken as words, and what
-        lies between is asked for by whoever follows the source: `vector` stays.
+        Returns the desks whose status may have changed. After a gap in the revisions the entries are applied, but
+        `vector` stays, and the source's client has to fetch the missing ones.
         """
         known = self.sources[source]
         entries = [Entry(source, revision, desk, status) for desk, status in desks.items()]
@@ -63,50 +63,50 @@
             entries += [
                 Entry(source, revision, desk, DeskStatus.GONE) for desk in known.entries.keys() - desks.keys()
             ]
-        news = {entry.desk for entry in entries if self.apply_entry(entry)}
+        changed = {entry.desk for entry in entries if self.apply_entry(entry)}
         if (whole and revision > known.revision) or revision == known.revision + 1:
             known.revision = revision
-        return news
+        return changed
 
     def apply_entry(self, entry: Entry) -> bool:
-        """One word, from the source or passed on; is it news?"""
+        """Applies an entry of the source or of another agent; returns whether it changes anything."""
         known = self.sources.get(entry.source)
         if known is None:
             return False
         old = known.entries.get(entry.desk)
-        # Of one revision the stricter word holds: then it doesn't matter who is heard first.
+        # Of one revision the stricter entry wins, so that the order of arrival doesn't matter.
         if old and (old.revision, old.status) >= (entry.revision, entry.status):
             return False
         if old is None and entry.revision <= known.revision:
-            return False  # what we have is as new, and does not name it
+            return False  # a list that is at least as new doesn't have the desk
         known.entries[entry.desk] = entry
         return old is None or old.status != entry.status
 
     def status(self, desk: str) -> DeskStatus:
-        """The strictest word of those sources that name it."""
-        said = [one.entries[desk].status for one in self.sources.values() if desk in one.entries]
-        return max((one for one in said if one != DeskStatus.GONE), default=DeskStatus.GONE)
+        """The strictest status at the sources that list the desk."""
+        statuses = [source.entries[desk].status for source in self.sources.values() if desk in source.entries]
+        return max((status for status in statuses if status != DeskStatus.GONE), default=DeskStatus.GONE)
 
     def desks(self) -> dict[str, DeskStatus]:
-        """All that are not gone."""
-        names = {desk for one in self.sources.values() for desk in one.entries}
+        """Status of all desks that are not gone."""
+        names = {desk for source in self.sources.values() for desk in source.entries}
         return {desk: status for desk in sorted(names) if (status := self.status(desk)) != DeskStatus.GONE}
 
     def drained_or_gone(self) -> list[Entry]:
-        """What other agents are to hear from us: desks that a source has taken out or drains."""
+        """Entries to pass on to other agents."""
         return [
             entry
-            for one in self.sources.values()
-            for entry in one.entries.values()
+            for source in self.sources.values()
+            for entry in source.entries.values()
             if entry.status != DeskStatus.READY
         ]
 
     def discard_gone(self, vectors: list[Mapping[str, int]]) -> None:
-        """Drop words of desks that are gone, once all agents know their source up to there (`vectors`: theirs)."""
-        for name, one in self.sources.items():
-            least = min([one.revision, *(vector.get(name, 0) for vector in vectors)])
-            one.entries = {
+        """Drops entries of desks that are gone, once the lists of all agents (`vectors`) are complete up to there."""
+        for name, source in self.sources.items():
+            oldest = min([source.revision, *(vector.get(name, 0) for vector in vectors)])
+            source.entries = {
                 desk: entry
-                for desk, entry in one.entries.items()
-                if entry.status != DeskStatus.GONE or entry.revision > least
+                for desk, entry in source.entries.items()
+                if entry.status != DeskStatus.GONE or entry.revision > oldest
             }
--- a/seamlb/agree/merged.py
+++ b/seamlb/agree/merged.py
@@ -1,7 +1,7 @@
-"""One list for an agent that follows several sources: each whole list is its source's alone. Pure.
+"""Merges the desk lists of several sources into one for the agent. Pure.
 
-Without it a whole list of one source takes the desks of the others off. A desk is as free as the strictest source
-that names it says, and is where the first of them, in their order, says.
+Without it, a complete list of one source would remove the desks of the others. A desk has the strictest status of all
+sources that list it, and the address of the first of them, in the order of `names`.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 
 class DeskListMerger:
-    """Gives `changed` one list; nothing until all that are `awaited` have told theirs, or `begin` is called."""
+    """Passes one list to `publish`, once all `required` sources have sent theirs or `publish_first` was called."""
 
-    def __init__(self, names: tuple[str, ...], required: tuple[str, ...], changed: DeskListCallback) -> None:
+    def __init__(self, names: tuple[str, ...], required: tuple[str, ...], publish: DeskListCallback) -> None:
         self.required = required
-        self.desk_lists, self.changed = DeskLists(names), changed
+        self.desk_lists, self.publish = DeskLists(names), publish
         self.desks: dict[str, dict[str, Desk]] = {name: {} for name in names}  # as each source has them
-        self.revisions = dict.fromkeys(names, 0)  # lists heard of each: our own revisions, which no other agent hears
+        self.revisions = dict.fromkeys(names, 0)  # lists received from each source, counted for this agent only
         self.published: dict[str, Desk] = {}
         self.started = False
 
     def callback(self, name: str) -> DeskListCallback:
-        """What a source tells."""
+        """The callback for a source's lists."""
         return lambda scope, desks: self.on_list(name, scope, desks)
 
     def on_list(self, name: str, scope: Scope, desks: Sequence[Desk]) -> None:
-        """A source's news."""
+        """Processes a list, or changes, of a source."""
         if scope == Scope.FAILED:
             return
         known, whole = self.desks[name], scope != Scope.DELTA
@@ -56,38 +56,38 @@
         self.desk_lists.discard_gone([])
         if self.started:
             self._publish_changes()
-        elif all(self.revisions[one] for one in self.required):
+        elif all(self.revisions[source] for source in self.required):
             self.publish_first()
 
     def publish_first(self) -> None:
-        """Tell what is known, though a source may still be silent; once."""
+        """Publishes what is known, although some sources may not have answered yet; once."""
         if not self.started and any(self.revisions.values()):
             self.started = True
             self.published = self._merge()
-            self.changed(Scope.CACHED, list(self.published.values()))
+            self.publish(Scope.CACHED, list(self.published.values()))
 
     def _merge(self) -> dict[str, Desk]:
-        found = {}
+        merged = {}
         for ident, status in self.desk_lists.desks().items():
-            desk = next(one[ident] for one in self.desks.values() if ident in one)
-            found[ident] = Desk(
+            desk = next(desks[ident] for desks in self.desks.values() if ident in desks)
+            merged[ident] = Desk(
                 ident,
                 desk.address,
                 desk.zone,
                 desk.cell,
                 TO_AVAILABILITY[status],
-                max(one[ident].since_ms for one in self.desks.values() if ident in one),
+                max(desks[ident].since_ms for desks in self.desks.values() if ident in desks),
             )
-        return found
+        return merged
 
     def _publish_changes(self) -> None:
-        now = self._merge()
+        merged = self._merge()
         gone = [
-            Desk(one.ident, one.address, one.zone, one.cell, Availability.GONE, one.since_ms)
-            for ident, one in self.published.items()
-            if ident not in now
+            Desk(desk.ident, desk.address, desk.zone, desk.cell, Availability.GONE, desk.since_ms)
+            for ident, desk in self.published.items()
+            if ident not in merged
         ]
-        news = [one for ident, one in now.items() if self.published.get(ident) != one]
-        self.published = now
-        if gone or news:
-            self.changed(Scope.DELTA, gone + news)
+        changed = [desk for ident, desk in merged.items() if self.published.get(ident) != desk]
+        self.published = merged
+        if gone or changed:
+            self.publish(Scope.DELTA, gone + changed)
--- a/seamlb/agree/seat.py
+++ b/seamlb/agree/seat.py
@@ -1,7 +1,7 @@
-"""One process's part in agreed versions: its holder, and if it is one a member of the council, with its disk.
+"""The process of one agent: its lease and, if it is a voter, its vote and the state that it keeps on disk.
 
-The member runs in a thread of its own, as its votes wait for the disk: a disk that is slow or hangs delays votes and
-never a call. What it wants sent comes back through `post`, on whichever thread it is made.
+The voter runs in its own thread, as its votes wait for the disk: a slow or hanging disk delays votes, but no call.
+Messages to send and log lines are handed to `post`, on whichever thread they arise.
 """
 
 from __future__ import annotations
@@ -26,27 +26,27 @@
 from seamlb.store import record
 from seamlb.store.files import DISK, Files
 
-MAX_QUEUED = 512  # things that a slow disk may keep waiting; more notes are dropped, as if they had been lost
+MAX_QUEUED = 512  # tasks that may wait for a slow disk; further messages are dropped, as a network may drop them
 HOLDER_KINDS = (Kind.LEASE_GRANT, Kind.CHOSEN)
-LogLines = list[tuple[str, dict[str, object]]]  # log lines that are due: event and facts
+LogLines = list[tuple[str, dict[str, object]]]  # event and fields of each
 
 
 def next_epoch(folder: Path, files: Files, log_lines: LogLines) -> int:
-    """A number for this process above those of all before it in this folder, on the disk; OSError."""
+    """Returns and stores a number higher than those of all earlier processes in this folder; raises OSError."""
     path, now = folder / "born", int(time.time() * 1000)
     try:
         previous = int(record.read(path, files) or 0)
     except (record.RecordError, ValueError) as error:
-        # The clock alone tells then: a clock that was put back shows as a process that all others turn down.
+        # Then the number depends on the clock alone: after a step back of the clock, the other voters fence us off.
         log_lines.append(("agree_disk", {"reason": str(error)}))
         previous = 0
-    found = max(previous + 1, now)
-    record.write(path, b"%d" % found, files)
-    return found
+    number = max(previous + 1, now)
+    record.write(path, b"%d" % number, files)
+    return number
 
 
 class Participant:
-    """`clock`: seconds that go on through sleep; `post`: takes what is to be sent and logged, from any thread."""
+    """`clock`: seconds, also counts while the machine sleeps; `post`: sends messages and logs, from any thread."""
 
     def __init__(
         self,
@@ -62,15 +62,15 @@
         self.files, self.first = files, first
         self.holder = LeaseHolder(name, lease, first, first, clock(), 0)
         self.voter: Voter | None = None
-        self.halt_reason = ""  # why this process is no member though the council names it
+        self.halt_reason = ""  # why this process doesn't vote although it is one of the voters
         self.lock_fd: int | None = None
         self.tasks = queue.Queue[Callable[[float], Outgoing]](MAX_QUEUED)
-        self.rejection = ""  # why what was proposed last was not put to the vote
-        # of the member: why it votes no more, newest, in force?
+        self.rejection = ""  # why the last proposal was not put to the vote
+        # The voter's reason to halt, number of its newest version, and whether that is in force.
         self.voter_status: tuple[str, int, bool] = ("", 0, False)
 
     def start(self) -> bool:
-        """Take the folder; False if another process has it still."""
+        """Locks the folder and loads the state; False while another process has the lock."""
         self.lock_fd = record.lock(self.folder)
         if self.lock_fd is None:
             return False
@@ -80,7 +80,7 @@
         except OSError as error:
             self._halt(f"the disk failed: {error.strerror or error}")
             number = int(time.time() * 1000)
-        # who asks less than a thousand times a second stays below the next process
+        # Below a thousand requests per second, the IDs stay lower than those of the next process.
         self.holder.request_id = number * 1000
         self.post([], log_lines)
         if state := self._load_state():
@@ -90,13 +90,13 @@
         return True
 
     def _start_voter(self, voter: Voter) -> None:
-        """Be a member from now on."""
+        """Votes from now on."""
         self.voter = voter
-        # A daemon thread: a disk that hangs must not keep the process from its end.
+        # A daemon thread, so that a hanging disk can't prevent the process from ending.
         threading.Thread(target=self._run, args=(voter,), name="council", daemon=True).start()
 
     def _load_state(self) -> PersistedState | None:
-        """The member's record; none for who is no member, or has one that can't be trusted."""
+        """The stored state of the voter; None if this agent is no voter, or if the record is corrupt."""
         if self.halt_reason:
             return None
         try:
@@ -104,7 +104,7 @@
             if body is not None:
                 return decode_state(body)
         except (record.RecordError, ValueError, TypeError) as error:
-            self._halt(f"its record can't be trusted: {error}")
+            self._halt(f"corrupt record: {error}")
             return None
         return PersistedState(self.first, self.first) if self.name in self.first.voters else None
 
@@ -115,17 +115,15 @@
     def _save(self, body: bytes) -> None:
         record.write(self.folder / "council", body, self.files)
 
-    # -- what comes, on the event loop --------------------------------------------------------
-
     def tick(self) -> None:
-        """Time has passed."""
+        """Advances time."""
         if self.lock_fd is None:
             return
         self.post(self.holder.tick(self.clock()), [])
         if self.voter:
             self._enqueue(self.voter.tick)
         elif not self.halt_reason and self.name in self.holder.newest.voters:
-            # It has become a member: all that it has to know is the charter that says so.
+            # This agent has become a voter: all the state it needs is the version that says so.
             self._start_voter(
                 Voter(
                     self.name,
@@ -139,7 +137,7 @@
             )
 
     def on_message(self, message: Message) -> None:
-        """A note that may be believed."""
+        """Processes a message that has been authenticated."""
         if self.lock_fd is None:
             return
         if message.kind in HOLDER_KINDS:
@@ -149,13 +147,13 @@
             self._enqueue(lambda now: voter.on_message(now, message))
 
     def propose(self, body: bytes) -> str:
-        """Put a change to the vote: JSON with `rules` (values by name), `council` or `agents` (all their names).
+        """Proposes a change: JSON with `rules` (values by name), `council` or `agents` (complete lists of names).
 
-        Why not, or empty; what becomes of it shows in `table`.
+        Returns the reason for a refusal, or ""; `status` shows the outcome.
         """
         voter, (halt_reason, newest, in_force) = self.voter, self.voter_status
         if voter is None:
-            return f"not a member of the council: ask one of {', '.join(self.holder.newest.voters)}"
+            return f"not a voter: ask one of {', '.join(self.holder.newest.voters)}"
         try:
             request = orjson.loads(body)
             if not isinstance(request, dict) or not request or request.keys() - {"rules", "council", "agents"}:
@@ -168,9 +166,9 @@
         if reason := version.succession_error(self.holder.newest) or halt_reason:
             return reason
         if version.same_content(self.holder.newest):
-            return ""  # a call that was repeated because its answer was lost: chosen already
+            return ""  # a request that was repeated because its response was lost: chosen already
         if not in_force:
-            return f"charter {newest} is not in force yet"
+            return f"version {newest} is not in force yet"
         self.rejection = ""
 
         def propose(now: float) -> Outgoing:
@@ -181,17 +179,17 @@
         return ""
 
     def _enqueue(self, step: Callable[[float], Outgoing]) -> None:
-        """Have the member's thread do something, in order."""
+        """Runs a task on the voter's thread, in order."""
         with contextlib.suppress(queue.Full):
             self.tasks.put_nowait(step)
 
     def _run(self, voter: Voter) -> None:
-        """The member's thread: the only one that touches it. The clock is read as each thing is come to."""
+        """The voter's thread, the only one that uses it. Each task gets the time at which it is started."""
         while True:
             step = self.tasks.get()
             try:
                 out = step(self.clock())
-            except Exception as error:  # must end neither the votes nor the calls
+            except Exception as error:  # must stop neither the votes nor the calls
                 out = []
                 voter.log_lines.append(("fault", {"where": "council", "error": repr(error)}))
             log_lines, voter.log_lines = voter.log_lines, []
@@ -200,7 +198,7 @@
                 self.post(out, log_lines)
 
     def status(self) -> dict[str, Any]:
-        """What is acted on and what the council does, as `/admin/agree` shows them."""
+        """The rules in use and the state of the voter, as `/admin/agree` shows them."""
         now, holder = self.clock(), self.holder
         halt_reason, newest, in_force = self.voter_status
         return {
@@ -220,7 +218,7 @@
         }
 
     def close(self) -> None:
-        """Let go of the folder."""
+        """Releases the folder."""
         if self.lock_fd is not None:
             os.close(self.lock_fd)
             self.lock_fd = None
--- a/seamlb/agree/table.py
+++ b/seamlb/agree/table.py
@@ -1,4 +1,4 @@
-"""What an operator writes of agreed versions: the table `[agree]` of the plug-ins' file, and the founding charter."""
+"""Settings of version agreement: the table `[agree]` of the plug-ins file, and the file of the founding version."""
 
 from __future__ import annotations
 
@@ -10,70 +10,72 @@
 from seamlb.agree.acting import kind_error
 from seamlb.agree.charter import ConfigVersion, Rule
 
-LEASE_SHARE = 0.5  # part of `within` that a lease lasts: the other half is for votes and words that are lost
-MIN_WITHIN, MAX_WITHIN = 1.0, 60.0  # seconds of `within`
+LEASE_SHARE = 0.5  # of `within`, for the lease; the rest is for votes and lost messages
+MIN_WITHIN, MAX_WITHIN = 1.0, 60.0  # s
 
 
 @dataclass(slots=True, frozen=True)
 class AgreeConfig:
-    """The table; files are relative to the file that has it."""
+    """The table as written; paths are relative to its file."""
 
-    listen: str  # where a member of the council is reached: address and port; others need none and may leave it empty
-    founding: str  # the file of the first charter, the same at all agents
-    state: str  # a folder of this agent alone
-    keys: str  # a file of keys as [members] has it
-    council: tuple[str, ...]  # NAME=HOST:PORT of all that are or may become members
-    within: float = 5.0  # seconds that two agents may act on rules that contradict, at most
+    listen: str  # HOST:PORT at which a voter is reached; may be empty for other agents
+    founding: str  # the file of the first version, the same for all agents
+    state: str  # a folder that only this agent uses
+    keys: str  # a file of keys, as for [members]
+    council: tuple[str, ...]  # NAME=HOST:PORT of all agents that are or may become voters
+    within: float = 5.0  # s for which two agents may apply conflicting rules at most
 
 
 @dataclass(slots=True, frozen=True)
 class AgreeSettings:
-    """The table, read and checked; `first` is the founding charter."""
+    """The validated table; `first` is the founding version."""
 
     listen: str
     state: Path
     first: ConfigVersion
     accepted_keys: Mapping[int, bytes]
     signing_key: int
-    voter_addresses: Mapping[str, str]  # address by name
-    lease: float
+    voter_addresses: Mapping[str, str]  # HOST:PORT by name
+    lease: float  # s
 
 
 def load_founding_version(path: Path) -> ConfigVersion:
-    """The first charter of a TOML file: `council`, `agents` and a table `[rules.NAME]` each; ValueError, OSError."""
+    """Reads the first version from TOML: `council`, `agents`, tables `[rules.NAME]`; raises ValueError, OSError."""
     raw = tomllib.loads(path.read_text())
     if unknown := sorted(raw.keys() - {"council", "agents", "rules"}):
         raise ValueError(f"agree.founding: {path}: unknown key {unknown[0]!r}")
     rules = {}
-    for name, one in raw.get("rules", {}).items():
-        if not isinstance(one, dict) or set(one) != {"kind", "value", "alone"}:
-            raise ValueError(f"agree.founding: {path}: rules.{name}: not kind, value and alone")
-        rules[name] = Rule(one["kind"], one["value"], one["alone"])
+    for name, rule in raw.get("rules", {}).items():
+        if not isinstance(rule, dict) or set(rule) != {"kind", "value", "alone"}:
+            raise ValueError(f"agree.founding: {path}: rules.{name}: must have kind, value and alone")
+        rules[name] = Rule(rule["kind"], rule["value"], rule["alone"])
     try:
-        found = ConfigVersion(1, "", tuple(raw.get("council", ())), tuple(raw.get("agents", ())), rules)
+        version = ConfigVersion(1, "", tuple(raw.get("council", ())), tuple(raw.get("agents", ())), rules)
     except ValueError as error:
         raise ValueError(f"agree.founding: {path}: {error}") from None
-    if why := kind_error(found):
-        raise ValueError(f"agree.founding: {path}: rules.{why}")
-    return found
+    if reason := kind_error(version):
+        raise ValueError(f"agree.founding: {path}: rules.{reason}")
+    return version
 
 
 def resolve(
     table: AgreeConfig, folder: Path, name: str, accepted_keys: Mapping[int, bytes], signing_key: int
 ) -> AgreeSettings:
-    """Check a table; ValueError with the key and the reason."""
+    """Validates the table; raises ValueError with the key and the reason."""
     first = load_founding_version(folder / table.founding)
     addresses = {one.partition("=")[0]: one.partition("=")[2] for one in table.council}
-    if lost := sorted(set(first.voters) - addresses.keys()):
-        raise ValueError(f"agree.council: no address of {lost[0]!r}, a member of the founding council")
+    if missing := sorted(set(first.voters) - addresses.keys()):
+        raise ValueError(
+            f"agree.council: no address for {missing[0]!r}, which is in the council of the founding version"
+        )
     if name in addresses and not table.listen:
-        raise ValueError("agree.listen: missing, and this agent is or may become a member of the council")
+        raise ValueError("agree.listen: missing, but this agent is in agree.council")
     if not MIN_WITHIN <= table.within <= MAX_WITHIN:
-        raise ValueError(f"agree.within: not {MIN_WITHIN:g} to {MAX_WITHIN:g} seconds: {table.within!r}")
+        raise ValueError(f"agree.within: must be {MIN_WITHIN:g} to {MAX_WITHIN:g} seconds, is {table.within!r}")
     if len(name.encode()) > 255:
-        raise ValueError("agree: this agent's name is over 255 bytes")
+        raise ValueError("agree: this agent's name has more than 255 bytes")
     if not (folder / table.state).is_dir():
-        raise ValueError(f"agree.state: no folder {str(folder / table.state)!r}")
+        raise ValueError(f"agree.state: folder {str(folder / table.state)!r} does not exist")
     return AgreeSettings(
         table.listen, folder / table.state, first, accepted_keys, signing_key, addresses, LEASE_SHARE * table.within
     )
--- a/seamlb/store/files.py
+++ b/seamlb/store/files.py
@@ -1,4 +1,4 @@
-"""The one way to the disk of all state that is kept: what it may do wrong is done wrong here by the tests."""
+"""File operations for all persisted state, in one class, so that tests can replace it by one with disk faults."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Files:
-    """The file system as it is; every call may raise OSError."""
+    """The real file system; every call may raise OSError."""
 
     def write(self, path: Path, data: bytes) -> None:
-        """A new file, its bytes on the disk when this returns."""
+        """Writes a new file; its bytes are on disk when this returns."""
         with open(path, "wb") as file:
             file.write(data)
             file.flush()
-            os.fsync(file.fileno())  # an error here means lost, whatever a second try says: it is told, not repeated
+            os.fsync(file.fileno())  # after an error the data may be lost even if a retry succeeds, so there is none
 
     def replace(self, new: Path, path: Path) -> None:
-        """Put one file in another's place, on the disk when this returns."""
+        """Moves a file over another; the result is on disk when this returns."""
         os.replace(new, path)
         folder = os.open(path.parent, os.O_RDONLY)
         try:
@@ -27,7 +27,7 @@
             os.close(folder)
 
     def write_atomic(self, path: Path, data: bytes) -> None:
-        """Replace a file, whole or not at all. OSError: it is not known which of the two is there."""
+        """Replaces a file as a whole or not at all. After an OSError either version may be on disk."""
         temporary = path.with_name(f".{path.name}.{os.getpid()}")
         try:
             self.write(temporary, data)
@@ -38,7 +38,7 @@
             raise
 
     def read(self, path: Path) -> bytes:
-        """The bytes of a file; OSError."""
+        """Reads a file."""
         return path.read_bytes()
 
 
--- a/seamlb/store/record.py
+++ b/seamlb/store/record.py
@@ -1,4 +1,4 @@
-"""A state on disk that is whole or not there: written beside, synced, renamed, with a checksum over all of it."""
+"""A record on disk, whole or not there: written to a temporary file, synced, renamed, and with a checksum."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class RecordError(Exception):
-    """A file that can't be trusted; its text names file and reason."""
+    """A corrupt or unreadable record; the message has file and reason."""
 
 
 def lock(folder: Path) -> int | None:
-    """Be the only process at work in a folder: a descriptor, held until it is closed or the process ends, or None."""
+    """Locks a folder for this process; returns a descriptor that holds the lock until closed, or None if taken."""
     descriptor = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -28,13 +28,13 @@
 
 
 def write(path: Path, body: bytes, files: Files = DISK) -> None:
-    """Replace a record. OSError: it is not known which of the two is there; a torn one never is."""
+    """Replaces a record. After an OSError either version may be on disk, but never a torn one."""
     digest = blake2b(body, digest_size=16).hexdigest().encode()
     files.write_atomic(path, MAGIC + digest + b" %d\n" % len(body) + body)
 
 
 def read(path: Path, files: Files = DISK) -> bytes | None:
-    """The body; None if there is no file, RecordError if it is torn or lies."""
+    """Returns the body, or None if there is no file; raises RecordError if the record is corrupt."""
     try:
         data = files.read(path)
     except FileNotFoundError:
@@ -42,11 +42,11 @@
     except OSError as error:
         raise RecordError(f"{path}: {error.strerror}") from None
     head, newline, body = data.partition(b"\n")
-    words = head.removeprefix(MAGIC).split(b" ")
-    if not head.startswith(MAGIC) or not newline or len(words) != 2 or not words[1].isdigit():
-        raise RecordError(f"{path}: no record")
-    if len(body) != int(words[1]):
-        raise RecordError(f"{path}: cut off: {len(body)} bytes of {int(words[1])}")
-    if blake2b(body, digest_size=16).hexdigest().encode() != words[0]:
-        raise RecordError(f"{path}: checksum wrong")
+    fields = head.removeprefix(MAGIC).split(b" ")
+    if not head.startswith(MAGIC) or not newline or len(fields) != 2 or not fields[1].isdigit():
+        raise RecordError(f"{path}: not a record")
+    if len(body) != int(fields[1]):
+        raise RecordError(f"{path}: cut off: {len(body)} bytes of {int(fields[1])}")
+    if blake2b(body, digest_size=16).hexdigest().encode() != fields[0]:
+        raise RecordError(f"{path}: wrong checksum")
     return body
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -117,7 +117,7 @@
     world.run(3 * LEASE)
     # The one that came has to be told by the operator's hand to take part: until then the other two carry it.
     assert newest_version(world).voters == ("a001", "a002", "a003") and not world.violations
-    assert world.propose("a000", newest_version(world).with_values(limit=20)) == "not a member of the council"
+    assert world.propose("a000", newest_version(world).with_values(limit=20)) == "not a voter"
 
 
 @pytest.mark.parametrize(("agents", "voters", "seeds"), [(5, 3, 40), (5, 5, 20), (20, 5, 6)])
--- a/tests/test_agree_bugs.py
+++ b/tests/test_agree_bugs.py
@@ -115,7 +115,7 @@
     world.restart("a001")
     world.run(4 * LEASE)
     liar = world.nodes["a001"].voter
-    assert liar is not None and "the disk has gone back" in liar.halt_reason
+    assert liar is not None and "the disk was rolled back" in liar.halt_reason
     assert not world.violations and world.count_in_force(2) == 3
 
 
--- a/tests/test_agree_daemon.py
+++ b/tests/test_agree_daemon.py
@@ -58,9 +58,9 @@
         self.assertEqual((await site.admin("a3"))["acts_on"]["open"], 5)
         self.assertEqual((await site.admin("a3", "/admin/health"))["phase"], "ready")
         reply = await site.admin("a3", "/admin/agree/propose", '{"rules": {"open": 60}}')
-        self.assertIn("not a member", reply["error"])
+        self.assertIn("not a voter", reply["error"])
         reply = await site.admin("a1", "/admin/agree/propose", '{"rules": {"open": 2}}')
-        self.assertIn("below 5", reply["error"])
+        self.assertIn("below the fallback value 5", reply["error"])
         for name in ("a0", "a2"):
             await site.start_agent(name)
         await site.wait_for_all(2)
@@ -76,7 +76,7 @@
         await site.start()
         await site.wait_for_all(1)
         reply = await site.admin("a0", "/admin/agree/propose", '{"council": ["a2", "a3", "a4"]}')
-        self.assertIn("more than one is replaced", reply["error"])
+        self.assertIn("more than two names are added or removed", reply["error"])
         await site.propose("a0", voters=("a0", "a1", "a3"), open=60)
         await site.wait_for_all(2)
         for name in ("a1", "a2"):  # the one that went, and one that stayed: a0 and a3 are the majority
@@ -139,7 +139,7 @@
         await site.start_agent("a1")
 
         async def out() -> bool:
-            return any("gone back" in one["reason"] for one in site.lines("a1", "council_out"))
+            return any("rolled back" in one["reason"] for one in site.lines("a1", "council_out"))
 
         await site.wait_until(out)
         await site.propose("a2", open=60)
--- a/tests/test_agree_files.py
+++ b/tests/test_agree_files.py
@@ -28,16 +28,16 @@
             (folder / "c.json").write_text(json.dumps({"settings": RAW, "listen": "127.0.0.1:0", "name": "a1"}))
             for change, text, says in (
                 ({}, founding + rule, ""),
-                ({"within": 0.5}, founding, "agree.within: not 1 to 60 seconds"),
-                ({"state": "none"}, founding, "agree.state: no folder"),
+                ({"within": 0.5}, founding, "agree.within: must be 1 to 60 seconds"),
+                ({"state": "none"}, founding, f"agree.state: folder {str(folder / 'none')!r} does not exist"),
                 ({"listen": ""}, founding, "agree.listen: missing"),
                 ({"listen": "here"}, founding, "agree.listen: not host:port"),
-                ({"council": good["council"][:2]}, founding, "agree.council: no address of 'a2'"),
+                ({"council": good["council"][:2]}, founding, "agree.council: no address for 'a2'"),
                 ({"lease": 1}, founding, "agree.lease: unknown key"),
-                ({}, founding.replace('["a0", "a1", "a2"]', '["a0", "a1"]'), "2 members, not 1, 3, 5 or 7"),
-                ({}, founding + rule.replace("alone = 2", "alone = 20"), "open: below 20"),
+                ({}, founding.replace('["a0", "a1", "a2"]', '["a0", "a1"]'), "2 members, must be 1, 3, 5 or 7"),
+                ({}, founding + rule.replace("alone = 2", "alone = 20"), "open: below the fallback value 20"),
                 ({}, founding + rule.replace("limit", "free"), "open: of kind 'free', not 'limit'"),
-                ({}, founding + rule.replace("value = 10\n", ""), "rules.open: not kind, value and alone"),
+                ({}, founding + rule.replace("value = 10\n", ""), "rules.open: must have kind, value and alone"),
                 ({}, "people = 3\n" + founding, "unknown key 'people'"),
                 ({"founding": "none.toml"}, founding, "No such file"),
             ):
--- a/tests/test_relations.py
+++ b/tests/test_relations.py
@@ -91,17 +91,19 @@
 def test_what_may_follow() -> None:
     first = founding_version(5, 3)
     second = first.with_values(limit=50)
-    assert second.succession_error(first) == "" and "another charter" in first.with_values(limit=50).with_values(
+    assert second.succession_error(first) == "" and "another version" in first.with_values(limit=50).with_values(
         limit=60
     ).succession_error(first)
     assert second.conflicts_with(first) == ["limit"] and first.with_values(note="x").conflicts_with(first) == []
     fields = dict(second.rules) | {"limit": Rule("limit", 50, 20)}
-    assert "never change" in ConfigVersion(2, first.digest, first.voters, first.agents, fields).succession_error(
+    assert "can't be changed" in ConfigVersion(2, first.digest, first.voters, first.agents, fields).succession_error(
         first
     )
     del fields["limit"]
-    assert "never goes" in ConfigVersion(2, first.digest, first.voters, first.agents, fields).succession_error(first)
-    with pytest.raises(VersionError, match="limit: below 10"):
+    assert "can't be removed" in ConfigVersion(2, first.digest, first.voters, first.agents, fields).succession_error(
+        first
+    )
+    with pytest.raises(VersionError, match="limit: below the fallback value 10"):
         first.with_values(limit=5)
-    with pytest.raises(VersionError, match="unknown field"):
+    with pytest.raises(VersionError, match="unknown rule"):
         first.with_values(other=5)
