--- a/seamlb/agree/council.py
+++ b/seamlb/agree/council.py
@@ -67,7 +67,9 @@
     def in_force(self) -> bool:
         """Have all leases on earlier versions expired, according to majorities of the old and new voters? (A2)"""
         expired = {voter for voter, number in self.cleared.items() if number >= self.newest.number}
-        return all(len(expired & set(one.voters)) >= one.majority for one in (self.state.previous, self.newest))
+        return all(
+            len(expired & set(version.voters)) >= version.majority for version in (self.state.previous, self.newest)
+        )
 
     def _persist(self, **change: object) -> bool:
         """Writes a change to disk; False if that failed, and then no message may reveal the change. (A1)"""
--- a/seamlb/agree/link.py
+++ b/seamlb/agree/link.py
@@ -160,7 +160,7 @@
 
     async def _on_accept(self, connection: Connection) -> None:
         await self._read(connection)
-        self.inbound = {name: one for name, one in self.inbound.items() if one is not connection}
+        self.inbound = {name: route for name, route in self.inbound.items() if route is not connection}
 
     async def _read(self, connection: Connection) -> None:
         reader = FrameReader(self.codec)
--- a/seamlb/agree/relations.py
+++ b/seamlb/agree/relations.py
@@ -64,7 +64,7 @@
 
 
 def _check_numbers(value: Value) -> str:
-    if not isinstance(value, dict) or any(_check_number(one) for one in value.values()):
+    if not isinstance(value, dict) or any(_check_number(number) for number in value.values()):
         return "must have a number for each name"
     return "two names have the same number" if len(set(value.values())) != len(value) else ""
 
--- a/seamlb/agree/table.py
+++ b/seamlb/agree/table.py
@@ -63,7 +63,7 @@
 ) -> AgreeSettings:
     """Validates the table; raises ValueError with the key and the reason."""
     first = load_founding_version(folder / table.founding)
-    addresses = {one.partition("=")[0]: one.partition("=")[2] for one in table.council}
+    addresses = {entry.partition("=")[0]: entry.partition("=")[2] for entry in table.council}
     if missing := sorted(set(first.voters) - addresses.keys()):
         raise ValueError(
             f"agree.council: no address for {missing[0]!r}, which is in the council of the founding version"
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -1,4 +1,4 @@
-"""One agent of agreed versions, without sockets."""
+"""The rules of one agent, with a lease that tests control, without sockets."""
 
 from seamlb.agree.acting import RuleEnforcer
 from seamlb.agree.charter import ConfigVersion, Rule
@@ -46,5 +46,5 @@
     return RuleEnforcer(holder, ("east", "west"), lambda: now[0])
 
 
-def grant_lease(found: RuleEnforcer, expires_at: float) -> None:
-    found.holder.expires_at, found.holder.newest_in_force = expires_at, 1
+def grant_lease(enforcer: RuleEnforcer, expires_at: float) -> None:
+    enforcer.holder.expires_at, enforcer.holder.newest_in_force = expires_at, 1
--- a/tests/agreed.py
+++ b/tests/agreed.py
@@ -1,4 +1,4 @@
-"""A site of real processes that agree on versions: injectors between all of them, and an auditor of their logs."""
+"""A site of real processes that agree on versions, with fault injectors between all of them; audits their logs."""
 
 from __future__ import annotations
 
@@ -45,25 +45,25 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Auditor:
-    """Seconds in which an agent acted beyond a charter that another acted on as in force."""
+class LogAuditor:
+    """Finds, in the logs, times in which an agent violated a version that another agent applied as in force."""
 
     def __init__(self, first: ConfigVersion) -> None:
         self.versions = {first.digest: first}
         self.chosen: dict[int, set[str]] = {}
-        self.spans: dict[str, list[tuple[float, float, ConfigVersion, LeaseState]]] = {}  # from, to
+        self.spans: dict[str, list[tuple[float, float, ConfigVersion, LeaseState]]] = {}  # start and end, in seconds
 
     def add_version(self, version: ConfigVersion) -> None:
-        """A charter that may come to be."""
+        """Registers a version that may be chosen."""
         self.versions[version.digest] = version
 
     def add_log(self, name: str, lines: list[dict[str, Any]], end: float) -> None:
-        """The lines of one process, which ended at a time or still acts then."""
-        since = [float(one["since"]) for one in lines] + [end]
-        for i, one in enumerate(lines):
-            version = self.versions[one["digest"]]
+        """Adds the log lines of one process; `end` is when it was killed, or now."""
+        since = [float(line["since"]) for line in lines] + [end]
+        for n, line in enumerate(lines):
+            version = self.versions[line["digest"]]
             self.chosen.setdefault(version.number, set()).add(version.digest)
-            self.spans.setdefault(name, []).append((since[i], since[i + 1], version, LeaseState(one["stance"])))
+            self.spans.setdefault(name, []).append((since[n], since[n + 1], version, LeaseState(line["stance"])))
 
     def _values(self, version: ConfigVersion, state: LeaseState) -> Mapping[str, Any]:
         previous = self.versions.get(version.previous_digest)
@@ -75,47 +75,45 @@
             else {n: r.value for n, r in version.rules.items()}
         )
 
-    def contradiction(self) -> float:
-        """Seconds, summed over pairs of agents."""
+    def violation_seconds(self) -> float:
+        """Seconds of violations, summed over pairs of agents."""
         total = 0.0
-        plain = [
-            (who, *one[:3]) for who, spans in self.spans.items() for one in spans if one[3] is LeaseState.IN_FORCE
-        ]
+        active = [(peer, *s[:3]) for peer, spans in self.spans.items() for s in spans if s[3] is LeaseState.IN_FORCE]
         for name, spans in self.spans.items():
             for start, end, version, state in spans:
                 values = self._values(version, state)
-                for who, other_start, other_end, other in plain:
-                    both = min(end, other_end) - max(start, other_start)
+                for peer, other_start, other_end, other in active:
+                    overlap = min(end, other_end) - max(start, other_start)
                     if (
-                        who != name
-                        and both > 0.0
+                        peer != name
+                        and overlap > 0.0
                         and any(
                             not RELATIONS[rule.kind].complies(name, values[field], rule.value)
                             for field, rule in other.rules.items()
                         )
                     ):
-                        total += both
+                        total += overlap
         return total
 
 
 class Site:
-    """Agents a0 to a4, of which the first three are the council; `injectors` by who dials whom."""
+    """Agents a0 to a4, of which the first three are voters; `injectors` by (dialling agent, voter)."""
 
     def __init__(self, folder: Path, size: int = 5, voters: int = 3) -> None:
         self.folder, self.names = folder, [f"a{n}" for n in range(size)]
         self.voters = self.names[:voters]
-        self.possible_voters = self.names[: voters + 1]  # become members
+        self.possible_voters = self.names[: voters + 1]  # those with an address
         self.hosts = {name: own_host() for name in self.names}
         self.injectors: dict[tuple[str, str], Injector] = {}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.starts: dict[str, int] = {}
-        self.ends: dict[tuple[str, int], float] = {}  # process: when it was killed
+        self.ends: dict[tuple[str, int], float] = {}  # by agent and process number: seconds at which it was killed
 
     async def start(self, *, commands: Mapping[str, tuple[str, ...]] | None = None) -> None:
         (self.folder / "founding.toml").write_text(
             f"council = {json.dumps(self.voters)}\nagents = {json.dumps(self.names)}\n{RULES}"
         )
-        self.auditor = Auditor(first := load_founding_version(self.folder / "founding.toml"))
+        self.auditor = LogAuditor(first := load_founding_version(self.folder / "founding.toml"))
         self.newest = first
         (self.folder / "keys").write_text(f'send = 1\n[keys]\n1 = "{"11" * 32}"\n')
         (self.folder / "keys").chmod(0o600)
@@ -149,7 +147,7 @@
             await self.start_agent(name, (commands or {}).get(name, GOOD_COMMAND))
 
     async def start_agent(self, name: str, command: tuple[str, ...] = GOOD_COMMAND) -> None:
-        """Start a process for an agent."""
+        """Starts a process for an agent."""
         self.starts[name] = self.starts.get(name, -1) + 1
         with open(self.folder / f"{name}.{self.starts[name]}.log", "wb") as out:
             self.processes[name] = await asyncio.create_subprocess_exec(
@@ -170,12 +168,12 @@
         self.ends[name, self.starts[name]] = boottime()
 
     def isolate(self, names: set[str], mode: str = "drop") -> None:
-        """Whoever is among these hears nobody else, and nobody else hears them."""
-        for (one, other), injector in self.injectors.items():
-            injector.mode = mode if (one in names) != (other in names) else "pass"
+        """Blocks traffic between these agents and all others."""
+        for (dialler, voter), injector in self.injectors.items():
+            injector.mode = mode if (dialler in names) != (voter in names) else "pass"
 
     async def admin(self, name: str, path: str = "/admin/agree", body: str = "") -> dict[str, Any]:
-        """A call of the management address, {} if nobody answers."""
+        """Sends a request to the management address; {} if there is no response."""
         method = "POST" if body else "GET"
         try:
             reader, writer = await asyncio.open_connection(self.hosts[name], 7001)
@@ -187,7 +185,7 @@
             return {}
 
     async def propose(self, name: str, voters: tuple[str, ...] = (), **values: Any) -> ConfigVersion:
-        """Have a member put rules to the vote until they are; `values` by rule, `tenant_t` for tenant.t."""
+        """Proposes values by rule (`tenant_t` for tenant.t) until they are chosen."""
         rules = {key.replace("_", "."): value for key, value in values.items()}
         version = self.newest.successor(rules, voters)
         self.auditor.add_version(version)
@@ -206,45 +204,45 @@
         self.newest = version
         return version
 
-    async def acting_on(self, name: str) -> tuple[int, str]:
-        """Charter and stance of an agent."""
+    async def applied(self, name: str) -> tuple[int, str]:
+        """Number of the version that an agent applies, and its lease state."""
         reply = await self.admin(name)
         return int(reply.get("charter", 0)), str(reply.get("stance", ""))
 
-    async def wait_for_all(self, number: int, *but: str, state: str = "in force") -> None:
-        async def they_do() -> bool:
-            return all([await self.acting_on(one) == (number, state) for one in self.names if one not in but])
+    async def wait_for_all(self, number: int, *excluded: str, state: str = "in force") -> None:
+        async def all_apply() -> bool:
+            return all([await self.applied(name) == (number, state) for name in self.names if name not in excluded])
 
         try:
-            await self.wait_until(they_do)
+            await self.wait_until(all_apply)
         except TimeoutError:
-            tables = [json.dumps(await self.admin(one)) for one in self.names]
-            raise AssertionError(f"not all act on {number} {state}:\n" + "\n".join(tables)) from None
+            tables = [json.dumps(await self.admin(name)) for name in self.names]
+            raise AssertionError(f"not all apply version {number} {state}:\n" + "\n".join(tables)) from None
 
-    async def wait_until(self, true: Callable[[], Any], within: float = 3 * HANG_TIMEOUT) -> None:
+    async def wait_until(self, condition: Callable[[], Any], within: float = 3 * HANG_TIMEOUT) -> None:
         async with asyncio.timeout(within):
-            while not await true():
+            while not await condition():
                 await asyncio.sleep(0.05)
 
     def lines(self, name: str, event: str, start: int | None = None) -> list[dict[str, Any]]:
-        """Log lines of an agent's process, by default its latest."""
+        """Log lines of an agent's process, by default the latest."""
         path = self.folder / f"{name}.{self.starts[name] if start is None else start}.log"
         return log_events(path, event)
 
     def audit(self) -> float:
-        """Seconds of contradiction of all that acted so far, and no number has two charters."""
+        """Seconds of violations so far; asserts that no number has two versions."""
         now = boottime()
         for name, count in self.starts.items():
             for start in range(count + 1):
                 self.auditor.add_log(name, self.lines(name, "agree_acts", start), self.ends.get((name, start), now))
-        assert all(len(one) == 1 for one in self.auditor.chosen.values())
-        return self.auditor.contradiction()
+        assert all(len(digests) == 1 for digests in self.auditor.chosen.values())
+        return self.auditor.violation_seconds()
 
     async def stop(self) -> None:
-        for one in self.processes.values():
-            if one.returncode is None:
+        for process in self.processes.values():
+            if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
-                    one.kill()
-            await one.wait()
+                    process.kill()
+            await process.wait()
         for injector in self.injectors.values():
             await injector.stop()
--- a/tests/council.py
+++ b/tests/council.py
@@ -1,4 +1,4 @@
-"""Agents and their council on a virtual clock: a network that loses, doubles and delays, crashes, stalls, disks."""
+"""Simulated agents and voters on a virtual clock: lost, doubled and delayed messages, crashes, stalls, disks."""
 
 import heapq
 import random
@@ -12,14 +12,14 @@
 from seamlb.agree.notes import Message, decode
 from seamlb.agree.relations import RELATIONS
 
-LEASE = 2.0
-TICK = 0.1
-MEAN_DELAY = 0.05  # seconds of a note on its way
+LEASE = 2.0  # s
+TICK = 0.1  # s
+MEAN_DELAY = 0.05  # s, of a message
 ZONES = ["east", "north", "south", "west"]
 
 
 def founding_version(agents: int, voters: int) -> ConfigVersion:
-    names = tuple(f"a{place:03}" for place in range(agents))
+    names = tuple(f"a{n:03}" for n in range(agents))
     parts = dict.fromkeys(names, 1.0)
     return ConfigVersion(
         1,
@@ -42,7 +42,7 @@
 
 
 def random_successor(version: ConfigVersion, rng: random.Random) -> ConfigVersion:
-    """A charter that follows, with one or two of its rules changed."""
+    """The next version, with one or two rules changed at random."""
     whole = len(version.agents) * 2.0
     parts = {name: 0.25 + rng.random() for name in version.agents}
     values = {
@@ -58,20 +58,20 @@
 
 @dataclass
 class Node:
-    """One agent, perhaps a member of the council; its clock runs a little too fast or slow."""
+    """One agent, perhaps a voter, with a clock that is slightly fast or slow (`clock_rate`)."""
 
     name: str
     clock_rate: float
     holder: LeaseHolder
     voter: Voter | None = None
     disk: bytes = b""
-    up: bool = True
+    running: bool = True
     stalled_until: float = 0.0
     inbox: list[Message] = field(default_factory=list)
 
 
 class World:
-    """Steps of TICK; `cut` says which of two nodes can't hear each other."""
+    """Runs in steps of TICK; `is_cut(sender, receiver)` tells whether messages between the two are lost."""
 
     def __init__(self, seed: int, agents: int, voters: int, loss: float = 0.0) -> None:
         self.rng, self.loss, self.now, self.count = random.Random(seed), loss, 0.0, 0
@@ -94,7 +94,7 @@
         return node
 
     def _start(self, node: Node) -> None:
-        """Start a process from what its disk has."""
+        """Starts a process from what is on its disk."""
 
         def save(body: bytes) -> None:
             node.disk = body
@@ -107,27 +107,23 @@
         if state:
             node.voter = Voter(node.name, int(self.now * 1000) + 1, LEASE, state, now, save, self.rng)
 
-    # -- faults -------------------------------------------------------------------------------
-
     def crash(self, name: str) -> None:
-        self.nodes[name].up = False
+        self.nodes[name].running = False
 
     def restart(self, name: str) -> None:
         node = self.nodes[name]
-        node.up, node.inbox, node.stalled_until = True, [], 0.0
+        node.running, node.inbox, node.stalled_until = True, [], 0.0
         self._start(node)
 
     def restart_all(self) -> None:
-        """Whoever is down."""
+        """Restarts all agents that are down."""
         for name, node in self.nodes.items():
-            if not node.up:
+            if not node.running:
                 self.restart(name)
 
     def stall(self, name: str, seconds: float) -> None:
         self.nodes[name].stalled_until = self.now + seconds
 
-    # -- time ---------------------------------------------------------------------------------
-
     def send(self, sender: Node, out: list[tuple[str, Message]]) -> None:
         for to, message in out:
             data = message.encode()
@@ -135,26 +131,26 @@
             for _ in range(2 if self.rng.random() < 0.02 else 1):
                 if to == sender.name or self.rng.random() >= self.loss:
                     self.count += 1
-                    wait = 0.0 if to == sender.name else self.delay()
-                    heapq.heappush(self.in_flight, (self.now + wait, self.count, f"{sender.name} {to}", data))
+                    delay_s = 0.0 if to == sender.name else self.delay()
+                    heapq.heappush(self.in_flight, (self.now + delay_s, self.count, f"{sender.name} {to}", data))
 
     def propose(self, name: str, version: ConfigVersion) -> str:
         node = self.nodes[name]
-        if not node.up or node.voter is None or self.now < node.stalled_until:
-            return "not there"
-        why, out = node.voter.propose(self.now * node.clock_rate, version)
+        if not node.running or node.voter is None or self.now < node.stalled_until:
+            return "not running"
+        reason, out = node.voter.propose(self.now * node.clock_rate, version)
         self.send(node, out)
-        return why
+        return reason
 
     def step(self) -> None:
         self.now += TICK
         while self.in_flight and self.in_flight[0][0] <= self.now:
             _, _, route, data = heapq.heappop(self.in_flight)
             sender, to = route.split(" ")
-            if not self.is_cut(sender, to) and self.nodes[to].up:
+            if not self.is_cut(sender, to) and self.nodes[to].running:
                 self.nodes[to].inbox.append(decode(data))
         for node in self.nodes.values():
-            if not node.up or self.now < node.stalled_until:
+            if not node.running or self.now < node.stalled_until:
                 continue
             now = self.now * node.clock_rate
             inbox, node.inbox = node.inbox, []
@@ -173,34 +169,32 @@
         while self.now < end:
             self.step()
 
-    # -- what is counted ----------------------------------------------------------------------
-
     def _record_chosen(self, node: Node) -> None:
         newest = node.voter.newest if node.voter else self.first
         if self.chosen.setdefault(newest.number, newest.digest) != newest.digest:
-            self.violations.append(f"{self.now:.1f}: two charters have number {newest.number}")
+            self.violations.append(f"{self.now:.1f}: two versions have number {newest.number}")
 
     def audit(self) -> None:
-        """Whoever acts on a charter as in force finds nobody who acts beyond it."""
-        running = [one for one in self.nodes.values() if one.up and self.now >= one.stalled_until]
-        plain = {}
-        for node in running:
+        """Records agents whose values violate a version that another agent applies as in force."""
+        active = [node for node in self.nodes.values() if node.running and self.now >= node.stalled_until]
+        in_force = {}
+        for node in active:
             if node.holder.lease_state(self.now * node.clock_rate) is LeaseState.IN_FORCE:
-                plain[node.holder.newest.number] = node.holder.newest
-        if len(plain) == 1 and all(one.holder.newest.number in plain for one in running):
+                in_force[node.holder.newest.number] = node.holder.newest
+        if len(in_force) == 1 and all(node.holder.newest.number in in_force for node in active):
             return
-        for node in running:
+        for node in active:
             values = node.holder.values(self.now * node.clock_rate)
-            for number, version in plain.items():
+            for number, version in in_force.items():
                 for name, rule in version.rules.items():
                     if not RELATIONS[rule.kind].complies(node.name, values[name], rule.value):
-                        self.violations.append(f"{self.now:.1f}: {node.name} is beyond {name} of {number}")
+                        self.violations.append(f"{self.now:.1f}: {node.name} violates {name} of {number}")
 
     def count_in_force(self, number: int) -> int:
-        """How many act on it as in force."""
+        """The number of agents that apply this version as in force."""
         return sum(
-            one.up
-            and one.holder.newest.number == number
-            and one.holder.lease_state(self.now * one.clock_rate) is LeaseState.IN_FORCE
-            for one in self.nodes.values()
+            node.running
+            and node.holder.newest.number == number
+            and node.holder.lease_state(self.now * node.clock_rate) is LeaseState.IN_FORCE
+            for node in self.nodes.values()
         )
--- a/tests/lying.py
+++ b/tests/lying.py
@@ -1,4 +1,4 @@
-"""Files that do wrong what a disk can do wrong."""
+"""File operations with the faults that a disk can have."""
 
 import errno
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 class FaultyFiles(Files):
-    """`fails`: the call ("write", "fsync", "replace", "read") that fails with `code`; `torn`: bytes that arrive."""
+    """`failing_call` ("write", "fsync", "replace", "read") fails with `code`; only `torn` bytes of a write arrive."""
 
     def __init__(self, failing_call: str = "", code: int = errno.EIO, torn: int | None = None) -> None:
         self.failing_call, self.code, self.torn = failing_call, code, torn
--- a/tests/test_agree_bugs.py
+++ b/tests/test_agree_bugs.py
@@ -1,4 +1,4 @@
-"""Each invariant of docs/design/agree.md broken on purpose: the audit of the virtual fleet has to find it."""
+"""Breaks each invariant of docs/design/agree.md on purpose: the audit of the simulated fleet has to detect it."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -17,11 +17,11 @@
 Bug = Callable[[], AbstractContextManager[Any]]
 
 
-def in_force_by_its_own_word() -> AbstractContextManager[Any]:  # A2
+def in_force_without_majorities() -> AbstractContextManager[Any]:  # A2
     return mock.patch.object(Voter, "in_force", lambda self: self.cleared.get(self.name, 0) >= self.newest.number)
 
 
-def a_restart_is_not_quiet() -> AbstractContextManager[Any]:  # A3
+def votes_at_once_after_a_restart() -> AbstractContextManager[Any]:  # A3
     start = Voter.__init__
 
     def begin(self: Voter, *args: Any) -> None:
@@ -31,8 +31,8 @@
     return mock.patch.object(Voter, "__init__", begin)
 
 
-def lends_on_what_is_old() -> AbstractContextManager[Any]:  # A4
-    def lend(self: Voter, now: float, message: Message) -> list[tuple[str, Message]]:
+def grants_leases_on_old_versions() -> AbstractContextManager[Any]:  # A4
+    def grant(self: Voter, now: float, message: Message) -> list[tuple[str, Message]]:
         return [
             (
                 message.sender,
@@ -42,42 +42,44 @@
             )
         ]
 
-    return mock.patch.object(Voter, "_grant_lease", lend)
+    return mock.patch.object(Voter, "_grant_lease", grant)
 
 
-def counts_the_lease_from_the_answer() -> AbstractContextManager[Any]:  # A7
+def starts_the_lease_at_the_reply() -> AbstractContextManager[Any]:  # A7
     on_message = LeaseHolder.on_message
 
-    def late(self: LeaseHolder, now: float, message: Message) -> list[tuple[str, Message]]:
+    def grant_late(self: LeaseHolder, now: float, message: Message) -> list[tuple[str, Message]]:
         for request in self.requests.values():
             request.sent_at = now + LEASE * 0.5
         return on_message(self, now, message)
 
-    return mock.patch.object(LeaseHolder, "on_message", late)
+    return mock.patch.object(LeaseHolder, "on_message", grant_late)
 
 
-def acts_on_after_its_lease() -> AbstractContextManager[Any]:  # A8
+def applies_rules_after_the_lease() -> AbstractContextManager[Any]:  # A8
     lease_state = LeaseHolder.lease_state
     return mock.patch.object(
         LeaseHolder, "lease_state", lambda self, now: lease_state(self, min(now, self.expires_at - 0.01))
     )
 
 
-def runs(seeds: int) -> Iterator[World]:
+def random_runs(seeds: int) -> Iterator[World]:
     for seed in range(seeds):
         world, rng = World(seed, 5, 3, loss=0.1), random.Random(seed)
         inject_faults(world, rng, 30.0)
         yield world
 
 
-@pytest.mark.parametrize("bug", [lends_on_what_is_old, counts_the_lease_from_the_answer, acts_on_after_its_lease])
+@pytest.mark.parametrize(
+    "bug", [grants_leases_on_old_versions, starts_the_lease_at_the_reply, applies_rules_after_the_lease]
+)
 def test_a_seeded_bug_is_caught(bug: Bug) -> None:
     with bug():
-        assert any(world.violations for world in runs(60))
+        assert any(world.violations for world in random_runs(60))
 
 
-def one_lent_to_by_two(restarts: bool) -> World:
-    """An agent lent to by two members is cut off, the third brings something new, and one of the two restarts."""
+def grants_of_two_voters(restarts: bool) -> World:
+    """Two voters grant an agent a lease, it is isolated, the third proposes a version, one of the two restarts."""
     world = World(7, 5, 3)
     world.is_cut = lambda a, b: {a, b} == {"a002", "a004"}
     world.run(3 * LEASE)
@@ -92,50 +94,52 @@
     return world
 
 
-@pytest.mark.parametrize(("bug", "restarts"), [(in_force_by_its_own_word, False), (a_restart_is_not_quiet, True)])
-def test_a_seeded_bug_of_leases_is_caught(bug: Bug, restarts: bool) -> None:
-    world = one_lent_to_by_two(restarts)
+@pytest.mark.parametrize(
+    ("bug", "restarts"), [(in_force_without_majorities, False), (votes_at_once_after_a_restart, True)]
+)
+def test_a_seeded_lease_bug_is_caught(bug: Bug, restarts: bool) -> None:
+    world = grants_of_two_voters(restarts)
     assert not world.violations and world.count_in_force(2) == 4
     with bug():
-        assert one_lent_to_by_two(restarts).violations
+        assert grants_of_two_voters(restarts).violations
 
 
-def test_a_member_whose_disk_went_back_is_fenced_and_votes_no_second_time() -> None:
-    """A5: three members, of whom one lies; without the fence two charters would have one number."""
+def test_a_voter_whose_disk_was_rolled_back_is_fenced_off_and_does_not_vote_again() -> None:
+    """A5: without fencing, the vote of the rolled back voter would give one number to two versions."""
     world = World(3, 3, 3)
     world.run(3 * LEASE)
-    back = world.nodes["a001"].disk
+    old_disk = world.nodes["a001"].disk
     world.is_cut = lambda a, b: "a002" in (a, b) and a != b
     assert world.propose("a000", random_successor(newest_version(world), random.Random(1))) == ""
     world.run(4 * LEASE)
     assert newest_version(world).number == 2
     world.crash("a001")
-    world.nodes["a001"].disk = back
+    world.nodes["a001"].disk = old_disk
     world.is_cut = lambda a, b: False
     world.restart("a001")
     world.run(4 * LEASE)
-    liar = world.nodes["a001"].voter
-    assert liar is not None and "the disk was rolled back" in liar.halt_reason
+    outdated = world.nodes["a001"].voter
+    assert outdated is not None and "the disk was rolled back" in outdated.halt_reason
     assert not world.violations and world.count_in_force(2) == 3
 
 
-def test_a_member_whose_disk_fails_tells_nothing_more() -> None:
+def test_a_voter_whose_disk_fails_sends_no_more_messages() -> None:
     world = World(4, 3, 3)
     world.run(3 * LEASE)
-    sick = world.nodes["a001"].voter
-    assert sick is not None
+    faulty = world.nodes["a001"].voter
+    assert faulty is not None
 
     def fail(body: bytes) -> None:
         raise OSError(5, "Input/output error")
 
-    sick.save = fail
+    faulty.save = fail
     assert world.propose("a000", newest_version(world).with_values(limit=20)) == ""
     world.run(3 * LEASE)
-    assert sick.halt_reason == "the disk failed: Input/output error" and sick.newest.number == 1
+    assert faulty.halt_reason == "the disk failed: Input/output error" and faulty.newest.number == 1
     assert newest_version(world).number == 2 and world.count_in_force(2) >= 2 and not world.violations
 
 
-def test_two_votes_of_one_slot_never_both_win() -> None:
+def test_two_votes_in_one_slot_never_both_succeed() -> None:
     for seed in range(60):
         world = World(seed, 3, 3, loss=0.2)
         world.run(3 * LEASE)
@@ -144,4 +148,4 @@
             world.propose(name, random_successor(newest_version(world), rng))
         world.run(5 * LEASE)
         assert not world.violations and newest_version(world).number == 2
-        assert all(not isinstance(one.voter.proposal, Proposal) for one in world.nodes.values() if one.voter)
+        assert all(not isinstance(node.voter.proposal, Proposal) for node in world.nodes.values() if node.voter)
--- a/tests/test_agree_daemon.py
+++ b/tests/test_agree_daemon.py
@@ -1,4 +1,4 @@
-"""Agreed versions of real processes on loopback: killed, stalled, cut off, with disks that lie."""
+"""Version agreement of real processes on loopback: killed, stalled, isolated, with disks that fail."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
         self.site = Site(Path(self.enterContext(tempfile.TemporaryDirectory())))
         self.addAsyncCleanup(self.site.stop)
 
-    async def test_a_proposal_is_acted_on_by_all_and_nobody_contradicts_whoever_is_killed_stalled_or_cut_off(
+    async def test_a_proposal_is_applied_by_all_and_processes_killed_stalled_or_isolated_violate_nothing(
         self,
     ) -> None:
         site = self.site
@@ -29,12 +29,12 @@
             self.assertEqual((reply["acts_on"]["open"], reply["acts_on"]["desks"]), (7, ["d1"]))
             self.assertEqual((await site.admin(name, "/admin/stats"))["out_of_rotation"], 1)
 
-        await site.kill("a1")  # a member of the council
-        site.processes["a4"].send_signal(signal.SIGSTOP)  # and an agent that goes on believing, for all it knows
-        site.isolate({"a3"})  # and one that nobody hears
+        await site.kill("a1")  # a voter
+        site.processes["a4"].send_signal(signal.SIGSTOP)  # an agent that can't notice that its lease expires
+        site.isolate({"a3"})
         await site.propose("a2", open=50, owner="a3", desks=[])
         await site.wait_for_all(3, "a1", "a3", "a4")
-        self.assertEqual(await site.acting_on("a3"), (2, "alone"))
+        self.assertEqual(await site.applied("a3"), (2, "alone"))
         self.assertEqual((await site.admin("a3"))["acts_on"]["owner"], "")
         await site.propose("a0", owner="a2", open=20)
         await site.wait_for_all(4, "a1", "a3", "a4")
@@ -44,9 +44,7 @@
         await site.wait_for_all(4)
         self.assertEqual(site.audit(), 0.0)
 
-    async def test_without_a_council_calls_are_served_under_what_who_is_alone_may_and_a_council_that_is_back_goes_on(
-        self,
-    ) -> None:
+    async def test_without_a_majority_calls_are_served_with_fallback_values_until_the_voters_are_back(self) -> None:
         site = self.site
         await site.start()
         await site.wait_for_all(1)
@@ -64,14 +62,14 @@
         for name in ("a0", "a2"):
             await site.start_agent(name)
         await site.wait_for_all(2)
-        site.isolate({"a0"}, "deaf")  # what it asks arrives, and it hears no answer
+        site.isolate({"a0"}, "deaf")  # its requests arrive, the replies don't
         await site.propose("a2", open=30)
         await site.wait_for_all(3, "a0")
         site.isolate(set())
         await site.wait_for_all(3)
         self.assertEqual(site.audit(), 0.0)
 
-    async def test_a_member_is_replaced_and_the_new_one_votes(self) -> None:
+    async def test_a_voter_is_replaced_and_the_new_one_votes(self) -> None:
         site = self.site
         await site.start()
         await site.wait_for_all(1)
@@ -79,7 +77,7 @@
         self.assertIn("more than two names are added or removed", reply["error"])
         await site.propose("a0", voters=("a0", "a1", "a3"), open=60)
         await site.wait_for_all(2)
-        for name in ("a1", "a2"):  # the one that went, and one that stayed: a0 and a3 are the majority
+        for name in ("a1", "a2"):  # a voter, and the one that was replaced: a0 and a3 are the majority
             await site.kill(name)
         await site.propose("a3", open=70)
         await site.wait_for_all(3, "a1", "a2")
@@ -88,8 +86,8 @@
         await site.wait_for_all(3)
         self.assertEqual(site.audit(), 0.0)
 
-    async def test_a_second_process_in_a_folder_acts_alone_until_the_first_one_ends(self) -> None:
-        """The new process of an upgrade, or one that was started twice: one name never has two leases."""
+    async def test_a_second_process_in_a_folder_uses_fallback_values_until_the_first_one_ends(self) -> None:
+        """During an upgrade, or if a process was started twice, one name must not have two leases."""
         site = self.site
         await site.start()
         await site.wait_for_all(1)
@@ -102,12 +100,12 @@
         (site.folder / "twin.toml").write_text((site.folder / "a1.toml").read_text())
         await site.start_agent("twin")
 
-        async def waits() -> bool:
+        async def is_waiting() -> bool:
             return bool((await site.admin("twin")).get("waits_for_the_folder"))
 
-        await site.wait_until(waits)
+        await site.wait_until(is_waiting)
         await asyncio.sleep(WITHIN)
-        self.assertEqual((await site.acting_on("twin"))[1], "alone")
+        self.assertEqual((await site.applied("twin"))[1], "alone")
         self.assertEqual((await site.admin("twin"))["acts_on"]["open"], 5)
         await site.propose("a0", open=70)
         await site.wait_for_all(3)
@@ -115,15 +113,15 @@
         self.assertEqual(await site.processes["a1"].wait(), 0)
         site.ends["a1", 0] = boottime()
 
-        async def took_over() -> bool:
-            return await site.acting_on("twin") == (3, "in force") and bool((await site.admin("twin"))["member"])
+        async def has_taken_over() -> bool:
+            return await site.applied("twin") == (3, "in force") and bool((await site.admin("twin"))["member"])
 
-        await site.wait_until(took_over)
-        await site.propose("twin", open=80)  # it votes on by what the first one left on the disk
+        await site.wait_until(has_taken_over)
+        await site.propose("twin", open=80)  # it votes with the state that the first process left on disk
         await site.wait_for_all(4, "a1")
         self.assertEqual((await site.admin("twin"))["name"], "a1")
 
-    async def test_a_disk_that_lies_is_found_and_its_member_votes_no_more(self) -> None:
+    async def test_a_rolled_back_or_torn_record_is_detected_and_its_voter_halts(self) -> None:
         site = self.site
         marks = {name: site.folder / f"{name}.disk" for name in ("a0", "a1", "a2")}
         await site.start(commands={name: faulty_command("disk", str(mark)) for name, mark in marks.items()})
@@ -135,15 +133,15 @@
         await site.propose("a0", open=50)
         await site.wait_for_all(3)
         await site.kill("a1")
-        record.write_bytes(old)  # a disk that went back
+        record.write_bytes(old)  # a rolled back disk
         await site.start_agent("a1")
 
-        async def out() -> bool:
-            return any("rolled back" in one["reason"] for one in site.lines("a1", "council_out"))
+        async def has_halted() -> bool:
+            return any("rolled back" in line["reason"] for line in site.lines("a1", "council_out"))
 
-        await site.wait_until(out)
+        await site.wait_until(has_halted)
         await site.propose("a2", open=60)
-        await site.wait_for_all(4)  # a1 is an agent still
+        await site.wait_for_all(4)  # a1 still applies the rules
         await site.kill("a2")
         torn = site.folder / "a2" / "council"
         torn.write_bytes(torn.read_bytes()[:-7])
@@ -154,13 +152,13 @@
             await asyncio.sleep(0.05)
         self.assertEqual(len(lines), 1)
         self.assertIn("council: cut off", lines[0]["reason"])
-        # One of three is left: no lease, nothing new, and calls go on.
+        # One voter of three is left: no leases and no new versions, but calls are served.
         await site.wait_for_all(4, "a2", state="alone")
-        self.assertEqual((await site.acting_on("a2"))[1], "alone")
+        self.assertEqual((await site.applied("a2"))[1], "alone")
         self.assertEqual((await site.admin("a3", "/admin/health"))["phase"], "ready")
         self.assertEqual(site.audit(), 0.0)
 
-    async def test_a_disk_that_fails_or_hangs_takes_its_member_out_and_keeps_nobody_waiting(self) -> None:
+    async def test_a_voter_with_a_failing_or_hanging_disk_delays_no_call(self) -> None:
         site = self.site
         marks = {name: site.folder / f"{name}.disk" for name in ("a0", "a1")}
         await site.start(commands={name: faulty_command("disk", str(mark)) for name, mark in marks.items()})
@@ -169,7 +167,7 @@
         await site.propose("a0", open=40)
         await site.wait_for_all(2)
         self.assertIn("disk failed", site.lines("a1", "council_out")[0]["reason"])
-        marks["a0"].write_text("hang")  # nothing comes of it while the disk hangs: two of three are gone
+        marks["a0"].write_text("hang")  # no vote succeeds while the disk hangs: two voters of three are out
         await site.admin("a2", "/admin/agree/propose", '{"rules": {"open": 45}}')
         await site.wait_for_all(2, state="alone")
         for name in site.names:
@@ -179,12 +177,12 @@
         await site.wait_for_all(3)
         self.assertEqual(site.audit(), 0.0)
 
-    async def test_an_agent_that_acts_on_when_its_lease_is_over_is_caught(self) -> None:
+    async def test_an_agent_that_applies_rules_after_its_lease_is_caught(self) -> None:
         site = self.site
         await site.start(commands={"a4": faulty_command("eager")})
         await site.wait_for_all(1)
         site.isolate({"a4"})
         await site.propose("a0", open=50)
         await site.wait_for_all(2, "a4")
-        self.assertEqual(await site.acting_on("a4"), (1, "in force"))
+        self.assertEqual(await site.applied("a4"), (1, "in force"))
         self.assertGreater(site.audit(), 0.0)
--- a/tests/test_agree_schedules.py
+++ b/tests/test_agree_schedules.py
@@ -1,4 +1,4 @@
-"""Every schedule of faults and proposals up to a depth: nobody acts beyond what another has in force."""
+"""No schedule of faults and proposals up to a depth makes an agent violate a version that is in force."""
 
 from typing import Any
 
@@ -6,16 +6,16 @@
 
 from tests.schedules import run_schedule, schedules
 from tests.test_agree_bugs import (
-    a_restart_is_not_quiet,
-    acts_on_after_its_lease,
-    in_force_by_its_own_word,
-    lends_on_what_is_old,
+    applies_rules_after_the_lease,
+    grants_leases_on_old_versions,
+    in_force_without_majorities,
+    votes_at_once_after_a_restart,
 )
 
 DEPTH = 3
 
 
-def test_no_schedule_has_anybody_act_beyond_what_is_in_force() -> None:
+def test_no_schedule_causes_a_violation() -> None:
     seen: set[tuple[object, ...]] = set()
     for schedule in schedules(DEPTH):
         assert not run_schedule(schedule, seen).violations, schedule
@@ -23,7 +23,13 @@
 
 
 @pytest.mark.parametrize(
-    "bug", [in_force_by_its_own_word, lends_on_what_is_old, acts_on_after_its_lease, a_restart_is_not_quiet]
+    "bug",
+    [
+        in_force_without_majorities,
+        grants_leases_on_old_versions,
+        applies_rules_after_the_lease,
+        votes_at_once_after_a_restart,
+    ],
 )
 def test_a_seeded_bug_is_found_by_some_schedule(bug: Any) -> None:
     with bug():
--- a/tests/test_agree_search.py
+++ b/tests/test_agree_search.py
@@ -1,4 +1,4 @@
-"""All orders in which votes may arrive, and a crash of any member in between, with the real code of the members."""
+"""Searches the orders in which votes may arrive, with crashes in between, using the real code of the voters."""
 
 import random
 from contextlib import AbstractContextManager
@@ -21,7 +21,7 @@
 
 
 class Disk:
-    """What a member put there; it can be copied with it."""
+    """What a voter has written; copied along with it."""
 
     def __init__(self, body: bytes) -> None:
         self(body)
@@ -29,16 +29,12 @@
     def __call__(self, body: bytes) -> None:
         self.body = body
         state = decode_state(body)
-        self.stored = (
-            state.promised,
-            state.accepted_ballot,
-            state.accepted,
-            state.newest.digest,
-        )  # but for the count of records
+        # Without the count of writes.
+        self.stored = state.promised, state.accepted_ballot, state.accepted, state.newest.digest
 
 
 class State:
-    """Members, what is under way, and what was ever chosen."""
+    """Voters, messages in flight, and all versions that were chosen."""
 
     def __init__(self) -> None:
         self.voters = {
@@ -47,8 +43,8 @@
         self.in_flight: list[tuple[str, Message]] = []
         self.crashes, self.chosen = 1, {FIRST.digest}
         for name, version in RIVALS.items():
-            why, out = self.voters[name].propose(0.0, version)
-            assert why == ""
+            reason, out = self.voters[name].propose(0.0, version)
+            assert reason == ""
             self._send(out)
 
     def _start(self, name: str, epoch: int, disk: Disk) -> Voter:
@@ -57,33 +53,33 @@
         return voter
 
     def _send(self, out: list[tuple[str, Message]]) -> None:
-        self.in_flight += [one for one in out if one[1].kind in VOTING]
+        self.in_flight += [envelope for envelope in out if envelope[1].kind in VOTING]
 
     def key(self) -> bytes:
-        """Of two states with one key, one is enough."""
+        """Identifies the state: of several states with one key, only one is explored."""
         parts: list[Any] = [self.crashes, sorted(self.chosen)]
-        for name, one in sorted(self.voters.items()):
-            state, proposal = one.state, one.proposal
-            assert isinstance(one.save, Disk)
+        for name, voter in sorted(self.voters.items()):
+            state, proposal = voter.state, voter.proposal
+            assert isinstance(voter.save, Disk)
             parts.append(
-                (name, state.newest.digest, state.promised, state.accepted_ballot, state.accepted, one.save.stored)
+                (name, state.newest.digest, state.promised, state.accepted_ballot, state.accepted, voter.save.stored)
             )
             if proposal:
                 value = proposal.value.digest if proposal.value else ""
                 parts.append(
                     (proposal.ballot, value, sorted(proposal.promises.items()), sorted(proposal.accepted_by))
                 )
-        fly = sorted((to, n.kind, n.sender, n.ballot, n.accepted_ballot, n.body) for to, n in self.in_flight)
-        return blake2b(repr((parts, fly)).encode()).digest()
+        messages = sorted((to, n.kind, n.sender, n.ballot, n.accepted_ballot, n.body) for to, n in self.in_flight)
+        return blake2b(repr((parts, messages)).encode()).digest()
 
     def copy(self) -> "State":
         new = copy(self)
         new.voters, new.in_flight, new.chosen = dict(self.voters), list(self.in_flight), set(self.chosen)
         return new
 
-    def arrives(self, place: int) -> None:
-        """The note of that place under way reaches its member."""
-        to, message = self.in_flight.pop(place)
+    def deliver(self, index: int) -> None:
+        """Delivers the message at that index."""
+        to, message = self.in_flight.pop(index)
         voter = self.voters[to] = copy(self.voters[to])
         assert isinstance(voter.save, Disk)
         voter.state, voter.save, voter.fences = replace(voter.state), copy(voter.save), dict(voter.fences)
@@ -94,34 +90,34 @@
         self._send(voter.on_message(0.0, message))
         self.chosen.add(voter.newest.digest)
 
-    def crashed(self, name: str) -> None:
-        """A member is killed and starts from its disk."""
+    def crash(self, name: str) -> None:
+        """Kills a voter and restarts it from its disk."""
         voter = self.voters[name]
         assert isinstance(voter.save, Disk)
         self.voters[name] = self._start(name, voter.epoch + 1, voter.save)
         self.crashes -= 1
 
-    def after(self, choice: int) -> "State":
-        """The state after the note of that place arrived, or with one past them all a crash of that member."""
+    def successor(self, choice: int) -> "State":
+        """The state after a choice: an index of a message to deliver, or beyond them the voter that crashes."""
         new = self.copy()
         if choice < len(new.in_flight):
-            new.arrives(choice)
+            new.deliver(choice)
         else:
-            new.crashed(sorted(new.voters)[choice - len(new.in_flight)])
+            new.crash(sorted(new.voters)[choice - len(new.in_flight)])
         return new
 
     def choices(self) -> int:
         return len(self.in_flight) + (len(self.voters) if self.crashes else 0)
 
 
-def search(most: int, seed: int) -> tuple[int, bool]:
-    """States seen and whether two charters were chosen in one slot; deepest first, in an order drawn by the seed."""
+def search(max_states: int, seed: int) -> tuple[int, bool]:
+    """Number of states seen, and whether one slot got two versions; depth first, in a random order."""
     rng, start = random.Random(seed), State()
     seen, stack = {start.key()}, [start]
-    while stack and len(seen) < most:
+    while stack and len(seen) < max_states:
         state = stack.pop()
         for choice in rng.sample(range(state.choices()), state.choices()):
-            new = state.after(choice)
+            new = state.successor(choice)
             if len(new.chosen) > 2:
                 return len(seen), True
             if (key := new.key()) not in seen:
@@ -130,35 +126,35 @@
     return len(seen), False
 
 
-def walk(seed: int) -> bool:
-    """One order drawn at random, with some notes lost and one crash; were two charters chosen in one slot?"""
+def random_walk(seed: int) -> bool:
+    """One random order, with lost messages and one crash; did one slot get two versions?"""
     rng, state = random.Random(seed), State()
     while state.in_flight and len(state.chosen) < 3:
-        place = rng.randrange(len(state.in_flight))
+        index = rng.randrange(len(state.in_flight))
         if rng.random() < 0.05:
-            del state.in_flight[place]
+            del state.in_flight[index]
         elif state.crashes and rng.random() < 0.2:
-            state.crashed(rng.choice(FIRST.voters))
+            state.crash(rng.choice(FIRST.voters))
         else:
-            state.arrives(place)
+            state.deliver(index)
     return len(state.chosen) > 2
 
 
-def votes_before_the_disk_has_them() -> AbstractContextManager[Any]:  # A1
-    def keep(self: Voter, **change: object) -> bool:
+def votes_before_it_persists() -> AbstractContextManager[Any]:  # A1
+    def persist(self: Voter, **change: object) -> bool:
         for name, value in change.items():
             setattr(self.state, name, value)
         if "newest" in change:
             self.save(self.state.encode())
         return True
 
-    return mock.patch.object(Voter, "_persist", keep)
+    return mock.patch.object(Voter, "_persist", persist)
 
 
-def forgets_what_was_voted_for() -> AbstractContextManager[Any]:  # A6
+def ignores_accepted_versions() -> AbstractContextManager[Any]:  # A6
     promised = Voter._on_promise
 
-    def own(self: Voter, message: Message) -> list[tuple[str, Message]]:
+    def without_accepted(self: Voter, message: Message) -> list[tuple[str, Message]]:
         return promised(
             self,
             Message(
@@ -166,16 +162,16 @@
             ),
         )
 
-    return mock.patch.object(Voter, "_on_promise", own)
+    return mock.patch.object(Voter, "_on_promise", without_accepted)
 
 
-def test_no_order_of_votes_and_no_crash_chooses_two() -> None:
-    seen, broken = search(2_000, 1)
-    assert not broken and seen >= 2_000
-    assert not any(walk(seed) for seed in range(1000))
+def test_no_order_of_votes_and_crashes_chooses_two_versions() -> None:
+    seen, violated = search(2_000, 1)
+    assert not violated and seen >= 2_000
+    assert not any(random_walk(seed) for seed in range(1000))
 
 
-@pytest.mark.parametrize("bug", [votes_before_the_disk_has_them, forgets_what_was_voted_for])
-def test_a_seeded_bug_of_votes_is_found(bug: Any) -> None:
+@pytest.mark.parametrize("bug", [votes_before_it_persists, ignores_accepted_versions])
+def test_a_seeded_vote_bug_is_found(bug: Any) -> None:
     with bug():
-        assert any(walk(seed) for seed in range(1000))
+        assert any(random_walk(seed) for seed in range(1000))
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Lists out of several sources: nobody brings back what a newer revision took out."""
+"""Desk lists of several sources: old revisions never bring back what a newer one removed."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def history(seed: int) -> dict[str, list[dict[str, DeskStatus]]]:
-    """Each source's revisions, as changes."""
+    """The changes in each revision of each source."""
     rng = random.Random(seed)
     return {
         name: [
@@ -23,68 +23,69 @@
     }
 
 
-def whole(changes: list[dict[str, DeskStatus]]) -> dict[str, DeskStatus]:
+def complete_list(changes: list[dict[str, DeskStatus]]) -> dict[str, DeskStatus]:
     now: dict[str, DeskStatus] = {}
     for change in changes:
         now |= change
     return {desk: status for desk, status in now.items() if status != DeskStatus.GONE}
 
 
-def strictest(facts: dict[str, dict[str, tuple[int, DeskStatus]]], desk: str) -> DeskStatus:
-    said = [one[desk][1] for one in facts.values() if desk in one and one[desk][1] != DeskStatus.GONE]
-    return max(said, default=DeskStatus.GONE)
+def strictest(expected: dict[str, dict[str, tuple[int, DeskStatus]]], desk: str) -> DeskStatus:
+    statuses = [desks[desk][1] for desks in expected.values() if desk in desks and desks[desk][1] != DeskStatus.GONE]
+    return max(statuses, default=DeskStatus.GONE)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.integers(0, 10_000), st.integers(0, 10_000))
-def test_an_agent_goes_by_the_newest_that_it_heard_by_any_way(seed: int, order: int) -> None:
-    made, rng = history(seed), random.Random(order)
+def test_an_agent_uses_the_newest_revision_that_it_got_from_a_source_or_another_agent(seed: int, order: int) -> None:
+    revisions, rng = history(seed), random.Random(order)
     agents = [DeskLists(SOURCES), DeskLists(SOURCES)]
-    facts: list[dict[str, dict[str, tuple[int, DeskStatus]]]] = [{name: {} for name in SOURCES} for _ in agents]
+    expected: list[dict[str, dict[str, tuple[int, DeskStatus]]]] = [{name: {} for name in SOURCES} for _ in agents]
 
-    def fact(who: int, name: str, revision: int, desk: str, status: DeskStatus) -> None:
-        facts[who][name][desk] = max(facts[who][name].get(desk, (0, DeskStatus.READY)), (revision, status))
+    def expect(receiver: int, name: str, revision: int, desk: str, status: DeskStatus) -> None:
+        expected[receiver][name][desk] = max(
+            expected[receiver][name].get(desk, (0, DeskStatus.READY)), (revision, status)
+        )
 
     for _ in range(60):
-        who, name, revision = rng.randrange(2), rng.choice(SOURCES), rng.randint(1, 6)
-        change = made[name][revision - 1]
+        receiver, name, revision = rng.randrange(2), rng.choice(SOURCES), rng.randint(1, 6)
+        change = revisions[name][revision - 1]
         if rng.random() < 0.3:
-            for entry in agents[1 - who].drained_or_gone():
-                agents[who].apply_entry(entry)
-                fact(who, entry.source, entry.revision, entry.desk, entry.status)
-        elif rng.random() < 0.3:  # a whole list, perhaps an old one
-            desks = whole(made[name][:revision])
-            agents[who].apply_revision(name, revision, desks, True)
+            for entry in agents[1 - receiver].drained_or_gone():
+                agents[receiver].apply_entry(entry)
+                expect(receiver, entry.source, entry.revision, entry.desk, entry.status)
+        elif rng.random() < 0.3:  # a complete list, perhaps an old one
+            desks = complete_list(revisions[name][:revision])
+            agents[receiver].apply_revision(name, revision, desks, True)
             for desk in DESKS:
-                fact(who, name, revision, desk, desks.get(desk, DeskStatus.GONE))
+                expect(receiver, name, revision, desk, desks.get(desk, DeskStatus.GONE))
         else:
-            agents[who].apply_revision(name, revision, change, False)
+            agents[receiver].apply_revision(name, revision, change, False)
             for desk, status in change.items():
-                fact(who, name, revision, desk, status)
-        for agent, known in zip(agents, facts, strict=True):
+                expect(receiver, name, revision, desk, status)
+        for agent, known in zip(agents, expected, strict=True):
             assert {desk: agent.status(desk) for desk in DESKS} == {desk: strictest(known, desk) for desk in DESKS}
             if rng.random() < 0.1:
-                agent.discard_gone([one.vector for one in agents])
-    for agent in agents:  # all that there is: both see the same
+                agent.discard_gone([other.vector for other in agents])
+    for agent in agents:  # with all revisions, both have the same list
         for name in SOURCES:
-            agent.apply_revision(name, 6, whole(made[name]), True)
+            agent.apply_revision(name, 6, complete_list(revisions[name]), True)
             assert agent.vector[name] == 6
     assert agents[0].desks() == agents[1].desks()
     agents[0].discard_gone([agents[1].vector])
     assert agents[0].desks() == agents[1].desks()
-    assert all(
-        entry.status != DeskStatus.GONE for entry in agents[0].drained_or_gone()
-    )  # nothing is left of those that are gone
+    # No entry remains for a desk that is gone.
+    assert all(entry.status != DeskStatus.GONE for entry in agents[0].drained_or_gone())
 
 
-def test_the_first_word_of_a_drain_from_any_source_holds() -> None:
+def test_a_drain_counts_as_soon_as_it_arrives_from_any_source() -> None:
     desk_lists = DeskLists(SOURCES)
     desk_lists.apply_revision("board", 5, {"d1": DeskStatus.READY}, True)
     assert (
         desk_lists.apply_entry(Entry("consul", 9, "d1", DeskStatus.DRAINING))
         and desk_lists.status("d1") is DeskStatus.DRAINING
     )
-    desk_lists.apply_revision("consul", 7, {"d1": DeskStatus.READY}, True)  # behind: the drain stays
+    desk_lists.apply_revision("consul", 7, {"d1": DeskStatus.READY}, True)  # older: the desk still drains
     assert desk_lists.status("d1") is DeskStatus.DRAINING
     assert (
         desk_lists.apply_revision("consul", 10, {"d1": DeskStatus.READY}, True) == {"d1"}
@@ -93,7 +94,7 @@
 
 
 @pytest.mark.parametrize("whole_list", [True, False])
-def test_an_old_list_brings_nothing_back(whole_list: bool) -> None:
+def test_an_old_list_brings_no_desk_back(whole_list: bool) -> None:
     desk_lists = DeskLists(SOURCES)
     desk_lists.apply_revision("board", 1, {"d1": DeskStatus.READY, "d2": DeskStatus.READY}, True)
     desk_lists.apply_revision("board", 2, {"d1": DeskStatus.GONE}, False)
@@ -107,7 +108,7 @@
     )
 
 
-def test_a_gap_is_told_by_the_vector_and_its_words_count_all_the_same() -> None:
+def test_entries_after_a_gap_count_while_the_vector_stays() -> None:
     desk_lists = DeskLists(SOURCES)
     desk_lists.apply_revision("board", 1, {"d1": DeskStatus.READY, "d2": DeskStatus.READY}, True)
     desk_lists.apply_revision("board", 3, {"d2": DeskStatus.DRAINING}, False)
--- a/tests/test_merged.py
+++ b/tests/test_merged.py
@@ -1,4 +1,4 @@
-"""One list for an agent that follows a notice board and Consul: neither takes the other's desks off."""
+"""One desk list from a notice board and Consul: neither removes the desks of the other."""
 
 import asyncio
 from collections.abc import Sequence
@@ -12,77 +12,77 @@
 from tests.http_peers import ScriptedHttpServer, http, notices
 from tests.loopback import DaemonTestCase, config
 
-READY, DRAINS, GONE = Availability.READY, Availability.DRAINING, Availability.GONE
+READY, DRAINING, GONE = Availability.READY, Availability.DRAINING, Availability.GONE
 
 
 def desk(name: str, state: Availability = READY, address: str = "h:1") -> Desk:
     return Desk(name, address, 0, 0, state, 0.0)
 
 
-class Told:
-    def __init__(self, *awaited: str) -> None:
-        self.news: list[tuple[Scope, dict[str, int]]] = []
-        self.merged = DeskListMerger(("board", "consul"), awaited or ("board", "consul"), self.changed)
+class Recorder:
+    def __init__(self, *required: str) -> None:
+        self.published: list[tuple[Scope, dict[str, int]]] = []
+        self.merged = DeskListMerger(("board", "consul"), required or ("board", "consul"), self.changed)
         self.board, self.consul = self.merged.callback("board"), self.merged.callback("consul")
 
     def changed(self, scope: Scope, desks: Sequence[Desk]) -> None:
-        self.news.append((scope, {one.ident: one.availability for one in desks}))
+        self.published.append((scope, {desk.ident: desk.availability for desk in desks}))
 
     @property
     def last(self) -> tuple[Scope, dict[str, int]]:
-        return self.news[-1]
-
-
-def test_a_whole_list_of_one_source_takes_off_its_own_desks_alone() -> None:
-    told = Told()
-    told.board(Scope.CACHED, [desk("a"), desk("b")])
-    assert not told.news  # the other may hold one of them
-    told.consul(Scope.CACHED, [desk("b", DRAINS), desk("c")])
-    assert told.last == (Scope.CACHED, {"a": READY, "b": DRAINS, "c": READY})
-    told.consul(Scope.FULL, [desk("b")])
-    assert told.last == (Scope.DELTA, {"b": READY, "c": GONE})
-    told.board(Scope.DELTA, [desk("b", GONE)])
-    assert len(told.news) == 2  # Consul names it still, as it was
-    told.board(Scope.DELTA, [desk("a", DRAINS)])
-    assert told.last == (Scope.DELTA, {"a": DRAINS})
-    told.consul(Scope.FULL, [desk("a")])
-    assert told.last == (Scope.DELTA, {"b": GONE})  # and a drains on: the strictest word holds
-    told.board(Scope.DELTA, [desk("a", GONE)])
-    assert told.last == (Scope.DELTA, {"a": READY})
-    told.consul(Scope.FAILED, [])
-    assert len(told.news) == 5
-
-
-def test_a_silent_source_is_not_waited_for_for_ever_and_the_first_one_says_where_a_desk_is() -> None:
-    told = Told()
-    told.merged.publish_first()
-    assert not told.news
-    told.consul(Scope.CACHED, [desk("a", READY, "consul:1")])
-    told.merged.publish_first()
-    told.merged.publish_first()
-    assert told.news == [(Scope.CACHED, {"a": READY})]
-    told.board(Scope.CACHED, [desk("a", READY, "board:1")])
-    assert told.merged.published["a"].address == "board:1"
-    alone = Told("consul")
-    alone.consul(Scope.CACHED, [desk("a")])
-    assert alone.last == (Scope.CACHED, {"a": READY})
+        return self.published[-1]
+
+
+def test_a_complete_list_removes_only_desks_of_its_own_source() -> None:
+    recorder = Recorder()
+    recorder.board(Scope.CACHED, [desk("a"), desk("b")])
+    assert not recorder.published  # the other source may drain one of them
+    recorder.consul(Scope.CACHED, [desk("b", DRAINING), desk("c")])
+    assert recorder.last == (Scope.CACHED, {"a": READY, "b": DRAINING, "c": READY})
+    recorder.consul(Scope.FULL, [desk("b")])
+    assert recorder.last == (Scope.DELTA, {"b": READY, "c": GONE})
+    recorder.board(Scope.DELTA, [desk("b", GONE)])
+    assert len(recorder.published) == 2  # Consul still lists it, unchanged
+    recorder.board(Scope.DELTA, [desk("a", DRAINING)])
+    assert recorder.last == (Scope.DELTA, {"a": DRAINING})
+    recorder.consul(Scope.FULL, [desk("a")])
+    assert recorder.last == (Scope.DELTA, {"b": GONE})  # a still drains: the strictest status wins
+    recorder.board(Scope.DELTA, [desk("a", GONE)])
+    assert recorder.last == (Scope.DELTA, {"a": READY})
+    recorder.consul(Scope.FAILED, [])
+    assert len(recorder.published) == 5
+
+
+def test_the_first_list_does_not_wait_forever_and_addresses_come_from_the_first_source() -> None:
+    recorder = Recorder()
+    recorder.merged.publish_first()
+    assert not recorder.published
+    recorder.consul(Scope.CACHED, [desk("a", READY, "consul:1")])
+    recorder.merged.publish_first()
+    recorder.merged.publish_first()
+    assert recorder.published == [(Scope.CACHED, {"a": READY})]
+    recorder.board(Scope.CACHED, [desk("a", READY, "board:1")])
+    assert recorder.merged.published["a"].address == "board:1"
+    single = Recorder("consul")
+    single.consul(Scope.CACHED, [desk("a")])
+    assert single.last == (Scope.CACHED, {"a": READY})
 
 
 class Both(DaemonTestCase):
-    async def test_a_daemon_has_the_desks_of_both_and_drains_what_either_drains(self) -> None:
+    async def test_a_daemon_uses_the_desks_of_both_and_drains_those_that_either_drains(self) -> None:
         release = asyncio.Event()
-        drains: list[str] = []
+        draining: list[str] = []
 
-        async def board(stand: ScriptedHttpServer, path: str) -> bytes | None:
+        async def board(server: ScriptedHttpServer, path: str) -> bytes | None:
             if "watch=0" in path:
                 return http(notices(1, ("a", "Ready"), ("both", "Ready"), complete=True))
             await release.wait()
             return http(notices(2, ("both", "Terminating"))) if "watch=1" in path else await asyncio.Event().wait()
 
-        async def consul(stand: ScriptedHttpServer, path: str) -> bytes | None:
+        async def consul(server: ScriptedHttpServer, path: str) -> bytes | None:
             if "index=0" not in path:
                 await asyncio.Event().wait()
-            one = {
+            node = {
                 "Node": "n",
                 "ServiceID": "c",
                 "ServiceAddress": "127.0.0.1",
@@ -91,22 +91,22 @@
                 "ServiceMeta": {},
             }
             checks = [{"Node": {"Node": "n"}, "Service": {"ID": "c"}, "Checks": [{"Status": "passing"}]}]
-            return http([one] if "catalog" in path else checks, index=1)
+            return http([node] if "catalog" in path else checks, index=1)
 
-        stands = [ScriptedHttpServer(board), ScriptedHttpServer(consul)]
-        addresses = [await one.start() for one in stands]
+        servers = [ScriptedHttpServer(board), ScriptedHttpServer(consul)]
+        addresses = [await server.start() for server in servers]
         daemon = Daemon(config(board=addresses[0]), Plugins(consul=ConsulConfig(addresses[1], "desks")))
         await daemon.start()
 
         async def stop() -> None:
             await daemon.close()
-            for one in stands:
-                one.server.close()
+            for server in servers:
+                server.server.close()
 
         self.addAsyncCleanup(stop)
         await self.eventually(lambda: daemon.agent.listed.keys() == {"a", "both", "n/c"})
-        self.assertEqual({one.availability for one in daemon.agent.listed.values()}, {READY})
+        self.assertEqual({desk.availability for desk in daemon.agent.listed.values()}, {READY})
         release.set()
-        await self.eventually(lambda: daemon.agent.listed["both"].availability == DRAINS)
-        drains += [name for name, one in daemon.agent.listed.items() if one.availability == DRAINS]
-        self.assertEqual(drains, ["both"])
+        await self.eventually(lambda: daemon.agent.listed["both"].availability == DRAINING)
+        draining += [name for name, desk in daemon.agent.listed.items() if desk.availability == DRAINING]
+        self.assertEqual(draining, ["both"])
--- a/tests/test_relations.py
+++ b/tests/test_relations.py
@@ -1,4 +1,4 @@
-"""The relation table: guards keep within both sides, what is alone within all."""
+"""Relations of values: a transition value complies with both sides, a fallback value with every version."""
 
 from typing import Any
 
@@ -24,14 +24,14 @@
         lambda left: {"zones": ZONES, "left": sorted(left)}
     ),
     "numbers": st.dictionaries(st.sampled_from(["x", "y", "z"]), st.integers(0, 5)).filter(
-        lambda one: len(set(one.values())) == len(one)
+        lambda numbers: len(set(numbers.values())) == len(numbers)
     ),
 }
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.sampled_from(sorted(VALUES)).flatmap(lambda kind: st.tuples(st.just(kind), VALUES[kind], VALUES[kind])))
-def test_a_guard_keeps_within_both_and_is_itself_a_value(case: tuple[str, Any, Any]) -> None:
+def test_the_strictest_value_complies_with_both_and_is_itself_valid(case: tuple[str, Any, Any]) -> None:
     kind, a, b = case
     relation = RELATIONS[kind]
     assert relation.check(a) == relation.check(b) == ""
@@ -46,7 +46,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.sampled_from(sorted(VALUES)).flatmap(lambda kind: st.tuples(st.just(kind), VALUES[kind], VALUES[kind])))
-def test_a_charter_leaves_room_for_who_is_alone_or_is_refused(case: tuple[str, Any, Any]) -> None:
+def test_a_fallback_value_complies_with_the_version_or_the_version_is_refused(case: tuple[str, Any, Any]) -> None:
     kind, fallback, value = case
     relation = RELATIONS[kind]
     try:
@@ -75,32 +75,32 @@
         ("left", {"zones": ["x"], "left": ["y"]}),
     ],
 )
-def test_a_value_that_its_kind_cannot_have_is_refused(kind: str, value: Any) -> None:
+def test_a_value_that_is_invalid_for_its_kind_is_refused(kind: str, value: Any) -> None:
     with pytest.raises(VersionError, match="^rule: "):
         ConfigVersion(1, "", ("a",), ("a",), {"rule": Rule(kind, value, value)})
 
 
-def test_a_charter_is_the_same_bytes_wherever_it_is_written() -> None:
+def test_a_version_has_one_serialization() -> None:
     first = founding_version(5, 3)
     assert decode(first.body).digest == first.digest
-    for spoilt in (b"", b"{}", first.body[:-1], first.body + b" ", b"[]"):
+    for corrupt in (b"", b"{}", first.body[:-1], first.body + b" ", b"[]"):
         with pytest.raises(VersionError):
-            decode(spoilt)
+            decode(corrupt)
 
 
-def test_what_may_follow() -> None:
+def test_which_versions_may_follow() -> None:
     first = founding_version(5, 3)
     second = first.with_values(limit=50)
     assert second.succession_error(first) == "" and "another version" in first.with_values(limit=50).with_values(
         limit=60
     ).succession_error(first)
     assert second.conflicts_with(first) == ["limit"] and first.with_values(note="x").conflicts_with(first) == []
-    fields = dict(second.rules) | {"limit": Rule("limit", 50, 20)}
-    assert "can't be changed" in ConfigVersion(2, first.digest, first.voters, first.agents, fields).succession_error(
+    rules = dict(second.rules) | {"limit": Rule("limit", 50, 20)}
+    assert "can't be changed" in ConfigVersion(2, first.digest, first.voters, first.agents, rules).succession_error(
         first
     )
-    del fields["limit"]
-    assert "can't be removed" in ConfigVersion(2, first.digest, first.voters, first.agents, fields).succession_error(
+    del rules["limit"]
+    assert "can't be removed" in ConfigVersion(2, first.digest, first.voters, first.agents, rules).succession_error(
         first
     )
     with pytest.raises(VersionError, match="limit: below the fallback value 10"):
