--- a/seamlb/agree/__init__.py
+++ b/seamlb/agree/__init__.py
@@ -1,1 +1,1 @@
-"""Versions of a site's rules that its agents agree on."""
+"""Agreement of the agents of a site on versions of its rules."""
--- a/seamlb/agree/council.py
+++ b/seamlb/agree/council.py
@@ -17,7 +17,7 @@
 Outgoing = list[tuple[str, Message]]
 STATE_INTERVAL = 0.2  # of a lease, between two STATE messages to the other voters
 VOTE_TIMEOUT = 0.1  # of a lease, until a vote without a result is retried; times a random factor from 1 to 2
-MAX_BACKOFF = 8.0  # the timeout doubles with each retry up to this factor, so that slow networks get a vote through
+MAX_BACKOFF = 8.0  # the timeout doubles up to this factor, so that a vote's four messages get through a slow network
 
 
 @dataclass(slots=True)
--- a/seamlb/store/__init__.py
+++ b/seamlb/store/__init__.py
@@ -1,1 +1,1 @@
-"""State on disk that a kill or a lying disk can't mislead."""
+"""Persisted state: complete after a kill, and disk faults are detected."""
--- a/seamlb/store/record.py
+++ b/seamlb/store/record.py
@@ -48,5 +48,5 @@
     if len(body) != int(fields[1]):
         raise RecordError(f"{path}: cut off: {len(body)} bytes of {int(fields[1])}")
     if blake2b(body, digest_size=16).hexdigest().encode() != fields[0]:
-        raise RecordError(f"{path}: wrong checksum")
+        raise RecordError(f"{path}: checksum wrong")
     return body
