--- a/seamlb/daemon.py
+++ b/seamlb/daemon.py
@@ -57,7 +57,7 @@
             observe=self._observe if self.hook else None,
             advisor=rules.service.advisor if rules else None,
         )
-        self.agent.leaving = lambda: not self.lifecycle.accepts_requests(asyncio.get_running_loop().time())
+        self.agent.rejects_requests = lambda: not self.lifecycle.accepts_requests(asyncio.get_running_loop().time())
         self.sockets = descriptors.descriptor_limit(config.sockets)
         self.operators = descriptors.max_management_connections(self.sockets, management.MAX_CONNECTIONS)
         self.front = PlatformFront(self.agent, self.lifecycle, config.listen, self._client_limit())
@@ -86,7 +86,7 @@
                 config.connect_timeout,
                 self.agent.report_received,
                 self.front.release_unknown_call,
-                self.agent.counters.relay,
+                self.agent.counters.count_relayed,
             )
         )
         self.desks = self.agent.desks = self.sip_desks or self.platform_desks
--- a/seamlb/optional_parts.py
+++ b/seamlb/optional_parts.py
@@ -40,4 +40,4 @@
     from seamlb.sip.endpoint import SipEndpoint
 
     endpoint = SipEndpoint("desk")
-    return SipDesks(endpoint, plugins.desks.transport.upper(), agent.settings.fields, agent.counters.relay)
+    return SipDesks(endpoint, plugins.desks.transport.upper(), agent.settings.fields, agent.counters.count_relayed)
--- a/seamlb/routing/__init__.py
+++ b/seamlb/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests, attempts and outcomes; knows no wire, socket or header."""
+"""The core: requests, attempts and outcomes; independent of wire formats, sockets and headers."""
--- a/seamlb/routing/agent.py
+++ b/seamlb/routing/agent.py
@@ -1,4 +1,4 @@
-"""The agent: lives each request's session, from its taking to its end."""
+"""The agent: runs the session of each request, from acceptance to its end."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from seamlb import api, log
 from seamlb.routing.core import Clock, Core
-from seamlb.routing.life import AttemptUpdate, CallerLeft, CallSession, Overdue, Shutdown, TimedOut, Verdict, key_of
+from seamlb.routing.life import Action, AttemptUpdate, CallerGone, CallSession, Overdue, Shutdown, TimedOut, hash_key
 from seamlb.routing.model import Advisor, Answer, Attempt, Caller, Outcome, Request, Steering
 
 __all__ = ["Agent", "CallSession", "Clock"]
 
-FULL_MS = 1000.0  # when to come back to an agent that holds all the calls it may
+FULL_BACKOFF_MS = 1000.0  # advised to callers while the number of open calls is at its limit
 
 
 class Agent(Core):
-    """One call agent; fronts give it requests, desk clients outcomes, discovery the list."""
+    """One call agent: receives requests from fronts, outcomes from desk clients and the list from discovery."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
     ) -> None:
         super().__init__(settings, seed, clock, steering, advisor)
         self.max_open = max_open
-        self.leaving: Callable[[], bool] = lambda: False  # is the process being emptied, with no time left to wait?
+        self.rejects_requests: Callable[[], bool] = lambda: False  # set while the process drains and cannot wait
         self.observe = observe
-        self.measure: Callable[[str, str, float], None] | None = None  # told each end: class, how, after how many ms
+        self.measure: Callable[[str, str, float], None] | None = None  # called at each end: class, outcome, ms
         self.tasks: set[asyncio.Task[None]] = set()
         self.accepted = 0
         self.unanswered = 0
@@ -40,207 +40,207 @@
         self.idle.set()
 
     def accept(self, request: Request, caller: Caller) -> CallSession | None:
-        """Take a request; its final answer comes by `caller`. None: answered already, too many open or leaving."""
+        """Accept a request and answer it through `caller`; None if refused at once (too many open, or draining)."""
         self.refresh()
-        if self.unanswered >= min(self.max_open, self.filter_chain.max_open) or self.leaving():
+        if self.unanswered >= min(self.max_open, self.filter_chain.max_open) or self.rejects_requests():
             self.counters.throttled[request.class_name] += 1
             if self.measure:
                 self.measure(request.class_name, "throttled", 0.0)
-            caller.refused(FULL_MS)
+            caller.refused(FULL_BACKOFF_MS)
             return None
         self.accepted += 1
         self.unanswered += 1
-        since = self.clock() if self.measure else 0.0
-        session = CallSession(self.accepted, request, caller, since=since, kind=request.class_name)
+        accepted_at = self.clock() if self.measure else 0.0
+        session = CallSession(self.accepted, request, caller, accepted_at=accepted_at, class_name=request.class_name)
         self.sessions[session.number] = session
         self.idle.clear()
-        self.tasks.add(task := asyncio.get_running_loop().create_task(self._live(session)))
+        self.tasks.add(task := asyncio.get_running_loop().create_task(self._run_session(session)))
         task.add_done_callback(self.tasks.discard)
         return session
 
     def fail_unanswered(self) -> None:
-        """The process ends: whoever has no answer by now is told that the call failed."""
+        """The process ends: fail all requests that have no final answer."""
         for session in list(self.sessions.values()):
             if not session.answered:
                 session.inbox.put_nowait(Shutdown())
 
     def caller_hung_up(self, session: CallSession, cause: int = 16) -> None:
-        """A front tells that the caller gave the request up, or released the call."""
-        session.left = True
-        session.inbox.put_nowait(CallerLeft(cause))
+        """The caller cancelled the request or released the call; called by a front."""
+        session.caller_gone = True
+        session.inbox.put_nowait(CallerGone(cause))
 
     def has_unprocessed_updates(self) -> bool:
-        """Has a server said something that a request's coroutine has yet to act on?"""
-        return any(session.inbox.word_from_server() for session in self.sessions.values())
+        """Is there an update from a server that a session's coroutine has not processed yet?"""
+        return any(session.inbox.has_desk_update() for session in self.sessions.values())
 
-    async def _live(self, session: CallSession) -> None:
-        """The session of one request, from top to bottom."""
-        result, overdue = "fault", self._overdue(session)
+    async def _run_session(self, session: CallSession) -> None:
+        """Run the session of one request from its first decision to its end."""
+        result, answer_timer = "fault", self._start_answer_timer(session)
         try:
-            request = asked = session.request
+            request = original = session.request
             if self.advisor:
-                request = session.request = self.advisor.advise(self.clock(), asked, self.listed)
-            preferred = request.destination != asked.destination  # a local rule comes before a plan
-            grace = request.patience_ms - request.sent_ms_ago
+                request = session.request = self.advisor.advise(self.clock(), original, self.listed)
+            overridden = request.destination != original.destination  # local rules take precedence over a plan
+            time_left = request.patience_ms - request.sent_ms_ago
             self.handle(
                 api.CallRequest(
                     call=session.number,
                     call_class=request.call_class,
                     tenant=request.tenant,
-                    time_left=grace,
-                    destination=request.destination if preferred else self._choice(request),
+                    time_left=time_left,
+                    destination=request.destination if overridden else self._first_choice(request),
                     slots=request.slots,
                     cut_before=request.cut_before,
                     via=request.via,
-                    number_key=key_of(request.number),
+                    number_key=hash_key(request.number),
                 )
             )
-            decision = await self._decision(session)
-            while isinstance(decision, api.SendSetUp):
-                result_of = await self._attempt(session, decision)
-                if isinstance(result_of, Answer):
-                    result = await self._stand(session, result_of)
+            action = await self._next_action(session)
+            while isinstance(action, api.SendSetUp):
+                outcome = await self._run_attempt(session, action)
+                if isinstance(outcome, Answer):
+                    result = await self._run_established_call(session, outcome)
                     return
-                if isinstance(result_of, Outcome):
-                    self._ended(session, result_of, final=False)
-                    decision = await self._decision(session)
+                if isinstance(outcome, Outcome):
+                    self._end_attempt(session, outcome, final=False)
+                    action = await self._next_action(session)
                 else:
-                    decision = result_of
-            result = self._answer(session, decision)
+                    action = outcome
+            result = self._send_final_answer(session, action)
         except asyncio.CancelledError:
-            result = "shutdown"  # it stands on: the desk's release is passed on after the restart
+            result = "shutdown"  # an established call continues; its release is relayed after the restart
             raise
         except Exception as error:
-            # A fault in one session must not take others down, nor leave its caller without an answer.
+            # An error in one session must neither affect others nor leave its caller without an answer.
             log.event("fault", where="session", call=session.request.ident, error=repr(error), trace=log.trace(error))
-            self._abandon(session)
+            self._clean_up_after_fault(session)
         finally:
-            overdue.cancel()
-            self._close(session, result)
+            answer_timer.cancel()
+            self._close_session(session, result)
 
-    def _overdue(self, session: CallSession) -> asyncio.TimerHandle:
-        """Whoever waits for a decision is answered in time, whatever becomes of it."""
+    def _start_answer_timer(self, session: CallSession) -> asyncio.TimerHandle:
+        """Start the timer that answers the caller in time even if no decision is made."""
         delay = session.request.patience_ms - session.request.sent_ms_ago + self.settings.contract.answer_slack / 2.0
         return asyncio.get_running_loop().call_later(max(0.0, delay) / 1000.0, session.inbox.put_nowait, Overdue())
 
-    async def _decision(self, session: CallSession) -> Verdict | CallerLeft:
-        """What the module decides next for a call with no attempt out, unless something ends the call first."""
-        news = await session.inbox.decision()
-        if not isinstance(news, CallerLeft | Shutdown | Overdue):
-            return news
+    async def _next_action(self, session: CallSession) -> Action | CallerGone:
+        """The module's next decision on a call without a current attempt, unless the call ends first."""
+        message = await session.inbox.decision()
+        if not isinstance(message, CallerGone | Shutdown | Overdue):
+            return message
         self.handle(api.HungUp(session.number))
-        if isinstance(news, Overdue):
-            log.event("fault", where="decision", call=session.request.ident, error="none came in time")
-        return news if isinstance(news, CallerLeft) else api.Fail(session.number)
+        if isinstance(message, Overdue):
+            log.event("fault", where="decision", call=session.request.ident, error="no decision in time")
+        return message if isinstance(message, CallerGone) else api.Fail(session.number)
 
-    async def _attempt(self, session: CallSession, out: api.SendSetUp) -> Answer | Outcome | Verdict | CallerLeft:
-        """Carry out one attempt to its answer or outcome; an attempt that is left early is called off."""
+    async def _run_attempt(self, session: CallSession, out: api.SendSetUp) -> Answer | Outcome | Action | CallerGone:
+        """Run one attempt until its answer or outcome; cancels it if the call ends earlier."""
         assert self.desks is not None and session.attempt is None
-        within = out.within or session.request.patience_ms
-        # A desk may have gone, and be forgotten, since the module named it: then no connection comes up.
-        attempt = Attempt(session.request, session.attempts, self.names.get(out.server, ""), within)
-        session.attempt, session.server, session.sent = attempt, out.server, self.clock()
+        timeout_ms = out.within or session.request.patience_ms
+        # The desk may have been removed since the module chose it: connecting to the empty name then fails.
+        attempt = Attempt(session.request, session.attempts, self.desk_ids.get(out.server, ""), timeout_ms)
+        session.attempt, session.server, session.sent_at = attempt, out.server, self.clock()
         self.open_legs[attempt.desk] += 1
         session.attempts += 1
-        seconds = max(0.0, within) / 1000.0
+        seconds = max(0.0, timeout_ms) / 1000.0
         timer = asyncio.get_running_loop().call_later(seconds, session.inbox.put_nowait, TimedOut(attempt.leg))
-        self.desks.set_up(attempt, lambda leg, what: session.inbox.put_nowait(AttemptUpdate(leg, what)))
+        self.desks.set_up(attempt, lambda leg, result: session.inbox.put_nowait(AttemptUpdate(leg, result)))
         try:
-            news = await session.inbox.attempt(attempt.leg)
+            message = await session.inbox.attempt(attempt.leg)
         finally:
             timer.cancel()
-        match news:
-            case AttemptUpdate(_, what):
-                return what
+        match message:
+            case AttemptUpdate(_, result):
+                return result
             case TimedOut():
                 self.desks.cancel(attempt)
                 return Outcome(api.Status.TIMEOUT)
             case api.Cancel():
                 self.desks.cancel(attempt)
                 return Outcome(api.Status.CANCELLED)
-            case CallerLeft() | Shutdown():
+            case CallerGone() | Shutdown():
                 self.desks.cancel(attempt)
                 self.handle(api.HungUp(session.number))
-                self._ended(session, Outcome(api.Status.CANCELLED), final=True)
-                return news if isinstance(news, CallerLeft) else api.Fail(session.number)
+                self._end_attempt(session, Outcome(api.Status.CANCELLED), final=True)
+                return message if isinstance(message, CallerGone) else api.Fail(session.number)
 
-    async def _stand(self, session: CallSession, answer: Answer) -> str:
-        """The call stands: pass the answer on, then wait for the release from either side."""
+    async def _run_established_call(self, session: CallSession, answer: Answer) -> str:
+        """Pass on the answer that establishes the call, then wait for its release by either side."""
         assert self.desks is not None and session.attempt is not None
-        told = self._answer(session, answer)
+        result = self._send_final_answer(session, answer)
         self.filter_chain.attempt_ended(self.clock() / 1000.0, session.number, api.Status.OK)
-        self.handle(api.Answered(session.number, session.attempt.leg, session.server, self._delay(session)))
-        if told == "stands":
+        self.handle(api.Answered(session.number, session.attempt.leg, session.server, self._elapsed_ms(session)))
+        if result == "stands":
             match await session.inbox.release(session.attempt.leg):
                 case AttemptUpdate(_, Outcome() as outcome):
-                    if not session.left:  # else it has released the call too
+                    if not session.caller_gone:  # otherwise both sides have released the call
                         session.caller.released(outcome.cause)
-                    self._ended(session, outcome, final=True)
+                    self._end_attempt(session, outcome, final=True)
                     return "stood" if outcome.status == api.Status.OK else "cut"
-                case CallerLeft(cause):
+                case CallerGone(cause):
                     self.desks.release(session.attempt, cause)
-                    self._ended(session, Outcome(api.Status.CANCELLED), final=True)
+                    self._end_attempt(session, Outcome(api.Status.CANCELLED), final=True)
                     return "released"
         self.desks.release(session.attempt, 16)
-        self._ended(session, Outcome(api.Status.CANCELLED), final=True)
-        return told
+        self._end_attempt(session, Outcome(api.Status.CANCELLED), final=True)
+        return result
 
-    def _answer(self, session: CallSession, final: Answer | Verdict | CallerLeft) -> str:
-        """The one place that gives a caller its final answer; called once in a session."""
+    def _send_final_answer(self, session: CallSession, final: Answer | Action | CallerGone) -> str:
+        """Send the final answer to the caller: the only place that does, called once per session."""
         session.answered = True
         self.unanswered -= 1
         if not self.unanswered:
             self.idle.set()
         if self.measure:
-            how = {CallerLeft: "left", Answer: "fulfilled", api.Refuse: "throttled"}.get(type(final), "faulted")
-            self.measure(session.kind, how, self.clock() - session.since)
+            outcome = {CallerGone: "left", Answer: "fulfilled", api.Refuse: "throttled"}.get(type(final), "faulted")
+            self.measure(session.class_name, outcome, self.clock() - session.accepted_at)
         match final:
-            case CallerLeft():
-                return "left"  # it is owed none
+            case CallerGone():
+                return "left"  # needs no answer
             case Answer(description):
-                session.stood = True
-                if session.left:  # its news is pending still: the call is released at once
+                session.established = True
+                if session.caller_gone:  # the CallerGone message is still pending: the call is released at once
                     return "left"
                 if not session.caller.established(description):
                     return "untold"
-                self.counters.fulfilled[session.kind] += 1
+                self.counters.fulfilled[session.class_name] += 1
                 return "stands"
-            case _ if session.left:
+            case _ if session.caller_gone:
                 return "left"
             case api.Refuse(_, backoff):
-                self.counters.throttled[session.kind] += 1
+                self.counters.throttled[session.class_name] += 1
                 session.caller.refused(backoff)
                 return "refused"
             case _:
-                self.counters.faulted[session.kind] += 1
+                self.counters.faulted[session.class_name] += 1
                 session.caller.failed()
                 return "failed"
 
-    def _ended(self, session: CallSession, result: Outcome, final: bool) -> None:
-        """Tell the module how the attempt in the slot ended, and empty the slot."""
-        attempt = self._vacate(session)
+    def _end_attempt(self, session: CallSession, result: Outcome, final: bool) -> None:
+        """Report the outcome of the current attempt to the module, and clear the attempt."""
+        attempt = self._clear_attempt(session)
         if attempt is None:
             return
         self.filter_chain.attempt_ended(self.clock() / 1000.0, session.number, result.status)
-        self._reported(attempt.desk, result.report)
-        delay, note, report = self._delay(session), result.note, result.report
+        self._forward_idle_agents(attempt.desk, result.report)
+        delay, note, report = self._elapsed_ms(session), result.note, result.report
         self.handle(api.Ended(session.number, attempt.leg, session.server, result.status, final, delay, note, report))
-        self._forget(attempt.desk)
+        self._forget_if_unused(attempt.desk)
 
-    def _delay(self, session: CallSession) -> float:
-        return self.clock() - session.sent
+    def _elapsed_ms(self, session: CallSession) -> float:
+        return self.clock() - session.sent_at
 
-    def _abandon(self, session: CallSession) -> None:
+    def _clean_up_after_fault(self, session: CallSession) -> None:
         if session.attempt and self.desks:
-            (self.desks.release(session.attempt, 41) if session.stood else self.desks.cancel(session.attempt))
+            (self.desks.release(session.attempt, 41) if session.established else self.desks.cancel(session.attempt))
         if not session.answered:
-            self._answer(session, api.Fail(session.number))
+            self._send_final_answer(session, api.Fail(session.number))
 
-    def _close(self, session: CallSession, result: str) -> None:
+    def _close_session(self, session: CallSession, result: str) -> None:
         del self.sessions[session.number]
-        self.filter_chain.attempt_ended(self.clock() / 1000.0, session.number, api.Status.CANCELLED)  # never started
-        if left := self._vacate(session):
-            self._forget(left.desk)
+        self.filter_chain.attempt_ended(self.clock() / 1000.0, session.number, api.Status.CANCELLED)  # if not begun
+        if attempt := self._clear_attempt(session):
+            self._forget_if_unused(attempt.desk)
         session.on_closed()
         request = session.request
         log.event("call_end", call=request.ident, kind=request.class_name, result=result, attempts=session.attempts)
--- a/seamlb/routing/counters.py
+++ b/seamlb/routing/counters.py
@@ -1,4 +1,4 @@
-"""What staff see of the requests: each fact is counted once, where it happens. Every process starts at nought."""
+"""Counters of requests for operators; each event is counter once, where it occurs. They start at 0."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class Counters:
-    """By class, as callers name it; a class that is dropped keeps what it has."""
+    """Counts by class, as named by callers; a class that the settings drop keeps its counts."""
 
     def __init__(self) -> None:
-        self.known: dict[str, None] = {}  # all that requests could ever name, shown with 0 before the first
-        self.fulfilled: Counter[str] = Counter()  # a desk took the call
-        self.throttled: Counter[str] = Counter()  # refused: trying again is harmless
+        self.classes: dict[str, None] = {}  # all that requests may name, shown from 0 on
+        self.fulfilled: Counter[str] = Counter()  # answered by a desk
+        self.throttled: Counter[str] = Counter()  # refused; the caller may retry
         self.faulted: Counter[str] = Counter()  # failed
         self.relayed = 0  # attempts whose last byte was written to a desk
 
-    def know(self, classes: tuple[str, ...]) -> None:
-        """Classes that requests may name from now on."""
-        self.known |= dict.fromkeys(classes)
+    def add_classes(self, classes: tuple[str, ...]) -> None:
+        """Add classes that requests may name."""
+        self.classes |= dict.fromkeys(classes)
 
-    def relay(self) -> None:
-        """An attempt has left whole."""
+    def count_relayed(self) -> None:
+        """Count an attempt that was written completely."""
         self.relayed += 1
 
-    def table(self) -> dict[str, dict[str, int] | int]:
-        """The figures by their names on the page."""
+    def snapshot(self) -> dict[str, dict[str, int] | int]:
+        """The counters, by the names under which operators see them."""
         return {
-            name: {kind: counted[kind] for kind in self.known}
-            for name, counted in (
+            name: {class_name: counter[class_name] for class_name in self.classes}
+            for name, counter in (
                 ("fulfilled", self.fulfilled),
                 ("throttled", self.throttled),
                 ("faulted", self.faulted),
--- a/seamlb/routing/inbox.py
+++ b/seamlb/routing/inbox.py
@@ -1,7 +1,8 @@
-"""The inbox of one request: what is pending is taken by precedence, in whatever order it was put there.
+"""The inbox of one request: pending messages are taken by precedence, independent of their order of arrival.
 
-After a pause of the process, or in a busy turn of the loop, several events of one request are pending at once, and
-their order is that of timers and sockets in the loop, not of what happened. The rule is in docs/design/races.md.
+After a pause of the process, or in a busy iteration of the event loop, several messages for one request are pending
+at once. They are then in the order in which the loop served timers and sockets, not in the order of the underlying
+events. docs/design/races.md describes the rule.
 """
 
 from __future__ import annotations
@@ -13,76 +14,76 @@
 from seamlb import api
 from seamlb.routing.model import Answer, Outcome
 from seamlb.routing.news import (
-    AttemptNews,
+    AttemptMessage,
     AttemptUpdate,
-    CallerLeft,
-    CallNews,
-    Decision,
-    News,
+    CallerGone,
+    CallMessage,
+    DecisionMessage,
     Overdue,
+    SessionMessage,
     Shutdown,
     TimedOut,
 )
 
 
-class Wait(Enum):
-    """Where the coroutine of a request waits; each value is the order in which it takes what is pending there."""
+class WaitState(Enum):
+    """States in which the coroutine of a request waits; the value lists accepted message types by precedence."""
 
-    DECISION = (CallerLeft, api.Refuse, api.Fail, Shutdown, Overdue, api.SendSetUp)
-    SERVER = (Answer, Outcome, CallerLeft, api.Cancel, TimedOut, Shutdown)
-    RELEASE = (Outcome, CallerLeft)
+    DECISION = (CallerGone, api.Refuse, api.Fail, Shutdown, Overdue, api.SendSetUp)
+    SERVER = (Answer, Outcome, CallerGone, api.Cancel, TimedOut, Shutdown)
+    RELEASE = (Outcome, CallerGone)
 
 
-def precedence(wait: Wait, leg: int, news: News) -> int | None:
-    """The place of `news` in the order of a wait, 0 first; None: it is no news there.
+def precedence(state: WaitState, leg: int, message: SessionMessage) -> int | None:
+    """The rank of `message` in a wait state, 0 first; None if it is not accepted there.
 
-    `leg` numbers the attempt that is out: word of another one never counts.
+    `leg` numbers the current attempt: messages about another attempt are never accepted.
     """
-    match news:
-        case AttemptUpdate(about, what):
-            kind: type = type(what)
-        case TimedOut(about) | api.Cancel(_, about):
-            kind = type(news)
+    match message:
+        case AttemptUpdate(message_leg, result):
+            kind: type = type(result)
+        case TimedOut(message_leg) | api.Cancel(_, message_leg):
+            kind = type(message)
         case _:
-            about, kind = leg, type(news)
-    return wait.value.index(kind) if about == leg and kind in wait.value else None
+            message_leg, kind = leg, type(message)
+    return state.value.index(kind) if message_leg == leg and kind in state.value else None
 
 
 class Inbox:
-    """Pending news of one request; one reader."""
+    """Pending messages of one request; it has a single reader."""
 
     def __init__(self) -> None:
-        self.pending: list[News] = []
+        self.pending: list[SessionMessage] = []
         self._arrived = asyncio.Event()
 
-    def put_nowait(self, news: News) -> None:
-        """Add news; never blocks."""
-        self.pending.append(news)
+    def put_nowait(self, message: SessionMessage) -> None:
+        """Add a message; never blocks."""
+        self.pending.append(message)
         self._arrived.set()
 
-    def word_from_server(self) -> bool:
-        """Is something pending that a server has said?"""
-        return any(isinstance(one, AttemptUpdate) for one in self.pending)
+    def has_desk_update(self) -> bool:
+        """Is an update from a desk client pending?"""
+        return any(isinstance(message, AttemptUpdate) for message in self.pending)
 
-    async def decision(self) -> Decision:
-        """Wait for a decision, with no attempt out."""
-        return cast(Decision, await self._take(Wait.DECISION, -1))
+    async def decision(self) -> DecisionMessage:
+        """Wait for a decision while no attempt is in progress."""
+        return cast(DecisionMessage, await self._take(WaitState.DECISION, -1))
 
-    async def attempt(self, leg: int) -> AttemptNews:
-        """Wait for what becomes of the attempt that is out."""
-        return cast(AttemptNews, await self._take(Wait.SERVER, leg))
+    async def attempt(self, leg: int) -> AttemptMessage:
+        """Wait for the answer or the end of the current attempt."""
+        return cast(AttemptMessage, await self._take(WaitState.SERVER, leg))
 
-    async def release(self, leg: int) -> CallNews:
-        """Wait for the end of a call that stands."""
-        return cast(CallNews, await self._take(Wait.RELEASE, leg))
+    async def release(self, leg: int) -> CallMessage:
+        """Wait for the end of an established call."""
+        return cast(CallMessage, await self._take(WaitState.RELEASE, leg))
 
-    async def _take(self, wait: Wait, leg: int) -> News:
-        """The first by precedence of what is pending; what is no news in this wait stays for a later one."""
+    async def _take(self, state: WaitState, leg: int) -> SessionMessage:
+        """Take the pending message of highest precedence; those not accepted in this state remain pending."""
         while True:
             ranked = [
-                (place, at)
-                for at, one in enumerate(self.pending)
-                if (place := precedence(wait, leg, one)) is not None
+                (rank, index)
+                for index, message in enumerate(self.pending)
+                if (rank := precedence(state, leg, message)) is not None
             ]
             if ranked:
                 return self.pending.pop(min(ranked)[1])
--- a/seamlb/routing/life.py
+++ b/seamlb/routing/life.py
@@ -1,4 +1,4 @@
-"""What is known of one request in its life."""
+"""The state of one request."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 from seamlb.routing.inbox import Inbox
 from seamlb.routing.model import Attempt, Caller, Request
-from seamlb.routing.news import AttemptUpdate, CallerLeft, Overdue, Shutdown, TimedOut, Verdict
+from seamlb.routing.news import Action, AttemptUpdate, CallerGone, Overdue, Shutdown, TimedOut
 
-__all__ = ["AttemptUpdate", "CallSession", "CallerLeft", "Overdue", "Shutdown", "TimedOut", "Verdict", "key_of"]
+__all__ = ["Action", "AttemptUpdate", "CallSession", "CallerGone", "Overdue", "Shutdown", "TimedOut", "hash_key"]
 
 
-def key_of(number: str) -> int:
-    """The number called as the module sees it; any text a caller may send has one."""
+def hash_key(number: str) -> int:
+    """The key by which the module knows a called number: a 64-bit hash, defined for any text a caller may send."""
     return int.from_bytes(blake2b(number.encode("utf-8", "surrogateescape"), digest_size=8).digest())
 
 
 @dataclass(slots=True)
 class CallSession:
-    """One request from its taking to its end; owned by its coroutine, told news by the others."""
+    """One request from acceptance to its end; owned by its coroutine, which receives messages from other parts."""
 
-    number: int  # the module's name for it
+    number: int  # identifies the call to the module
     request: Request
     caller: Caller
     inbox: Inbox = field(default_factory=Inbox)
-    attempt: Attempt | None = None  # the one slot: never two attempts at once (rule 1)
+    attempt: Attempt | None = None  # the current one: never two attempts at once (rule 1)
     attempts: int = 0
-    server: int = -1  # the module's number for the attempt's desk
-    sent: float = 0.0  # clock time of the attempt
+    server: int = -1  # the module's number of the attempt's desk
+    sent_at: float = 0.0  # clock time at which the attempt started, ms
     answered: bool = False
-    stood: bool = False
-    left: bool = False  # the caller has gone: known at once, while its news may still be pending
-    since: float = 0.0  # clock time of its taking; kept only where somebody asks how long answers take
-    kind: str = ""  # the class that the caller named; local rules may give the request another one
-    on_closed: Callable[[], object] = lambda: None  # tells the front that the life is over
+    established: bool = False
+    caller_gone: bool = False  # set at once, while the CallerGone message may still be pending
+    accepted_at: float = 0.0  # clock time of acceptance, ms; 0 unless times to answer are measured
+    class_name: str = ""  # class named by the caller; local rules may assign the request another one
+    on_closed: Callable[[], object] = lambda: None  # called at the end of the session
--- a/seamlb/routing/model.py
+++ b/seamlb/routing/model.py
@@ -1,4 +1,4 @@
-"""What the core deals in, and what it asks of fronts, desk clients and discovery."""
+"""Data types of the core, and the interfaces that fronts, desk clients and discovery implement."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A call that a caller asked for."""
+    """A call requested by a caller."""
 
     ident: str
     call_class: int
     class_name: str
     tenant: int
     number: str
-    patience_ms: float  # how long the caller waits, from when it sent the request
+    patience_ms: float  # how long the caller waits, counted from when it sent the request
     destination: int
     slots: float = 1.0
     via: int = -1
@@ -60,24 +60,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The desk took the call: it stands."""
+    """The desk answered: the call is established."""
 
     description: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How an attempt, or a call that stood, came to its end."""
+    """How an attempt or an established call ended."""
 
     status: Status
     note: int = 0
     report: tuple[float, ...] = ()
-    cause: int = 16  # Q.850, of a call that stood
+    cause: int = 16  # Q.850, of an established call
 
 
 @dataclass(slots=True, frozen=True)
 class Desk:
-    """A duty desk on the list."""
+    """A duty desk on the list of desks."""
 
     ident: str
     address: str
@@ -87,90 +87,90 @@
     since_ms: float
 
 
-AttemptCallback = Callable[[int, Answer | Outcome], None]  # leg, what became of it
+AttemptCallback = Callable[[int, Answer | Outcome], None]  # leg, its answer or outcome
 
 
 class Caller(Protocol):
-    """The side of a request that waits for its final answer."""
+    """The caller's side of a request, which receives the final answer."""
 
     def established(self, description: bytes) -> bool:
-        """Pass the answer on; False if the caller can no longer be told."""
+        """Pass the answer on; False if the caller can no longer be reached."""
 
     def refused(self, back_off_ms: float) -> None:
-        """Final: refused, trying again is harmless; `back_off_ms` 0 gives no advice."""
+        """Final answer: refused, the caller may retry; `back_off_ms` 0 means no Retry-After."""
 
     def failed(self) -> None:
-        """Final: failed."""
+        """Final answer: failed."""
 
     def released(self, cause: int) -> None:
-        """The call that stood is over."""
+        """The established call has ended."""
 
 
 class DeskClient(Protocol):
-    """Carries attempts to desks."""
+    """Sends attempts to desks."""
 
     def desk_changed(self, desk: Desk) -> None:
-        """A desk is new, has changed or is gone."""
+        """A desk was added to the list, has changed or was removed."""
 
-    def set_up(self, attempt: Attempt, heard: AttemptCallback) -> None:
-        """Start an attempt; `heard` is told at most an Answer and then exactly one Outcome."""
+    def set_up(self, attempt: Attempt, on_update: AttemptCallback) -> None:
+        """Start an attempt; `on_update` receives at most one Answer and then exactly one Outcome."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Call an attempt off; nothing more is told of it."""
+        """Cancel an attempt; no further update follows."""
 
     def release(self, attempt: Attempt, cause: int) -> None:
-        """End a call that stands; nothing more is told of it."""
+        """Release an established call; no further update follows."""
 
     def close_idle(self, desk: str) -> None:
-        """Close idle connections."""
+        """Close idle connections to a desk."""
 
 
-DeskListCallback = Callable[[Scope, Sequence[Desk]], None]  # takes a source's news of the list
+DeskListCallback = Callable[[Scope, Sequence[Desk]], None]  # receives updates of the list from a source
 
 
 class Discovery(Protocol):
-    """Brings the list of desks to the core until it is stopped."""
+    """A source of the list of desks."""
 
     async def run(self) -> None:
-        """Follow the list."""
+        """Follow the list until cancelled."""
 
 
 class Steering(Protocol):
-    """Steers calls before the module decides: it chooses inputs, never a send. Times are clock milliseconds."""
+    """Steers calls by choosing the module's inputs; the module still decides. Times are clock milliseconds."""
 
-    pending_events: list[tuple[str, dict[str, object]]]  # log lines that are due: event and facts
+    pending_events: list[tuple[str, dict[str, object]]]  # log events not written yet: name and fields
 
-    def first_choice(self, now: float, kind: str, number: bytes, usual: int) -> int:
-        """The pool of first choice of a call; `usual` is what its front says."""
+    def first_choice(self, now: float, class_name: str, number: bytes, default: int) -> int:
+        """The pool of first choice of a call; `default` is the one in its request."""
 
     def update_desks(self, now: float, desks: Iterable[Desk]) -> None:
-        """The whole list as it is now."""
+        """Take the complete current list."""
 
     def report_idle_agents(self, now: float, desk: str, idle: float) -> None:
-        """A desk told how many agents are free."""
+        """Take the number of idle agents that a desk reported."""
 
     def step(self, now: float) -> None:
-        """Time has passed."""
+        """Advance time-dependent state; called periodically."""
 
     def decision_settings(self, now: float) -> Settings:
-        """The settings that the module is to decide by."""
+        """The settings by which the module decides."""
 
 
 class Advisor(Protocol):
-    """Local rules: they may change what is known of a call before the module decides, and nothing after."""
+    """Local rules: may change a request before the module decides, and nothing afterwards."""
 
     def extend_settings(self, settings: Settings) -> Settings:
-        """The settings for the module: classes may be added behind those that are there."""
+        """The settings for the module: classes and tenants may be appended."""
 
     def advise(self, now: float, request: Request, listed: Mapping[str, Desk]) -> Request:
-        """The request as the module is to see it."""
+        """The request as passed to the module."""
 
     def observe(self, request: Request, result: str, attempts: int) -> None:
-        """A call is over."""
+        """A call has ended."""
 
 
 class Peers(Protocol):
-    """Carries messages between call agents."""
+    """Transport of messages between call agents."""
 
     def send(self, target: int | None, payload: bytes) -> None:
-        """To one agent, or to all (None)."""
+        """Send to one agent, or to all (None)."""
--- a/seamlb/routing/news.py
+++ b/seamlb/routing/news.py
@@ -1,4 +1,4 @@
-"""The news that the coroutine of one request is told: by fronts, server clients, the decision module and timers."""
+"""Messages to the coroutine of one request, from fronts, desk clients, the decision module and timers."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallerLeft:
-    """The caller gave the request up, or released the call; told by a front."""
+class CallerGone:
+    """The caller cancelled the request or released the call; sent by a front."""
 
-    cause: int = 16
+    cause: int = 16  # Q.850; 16 is normal clearing
 
 
 @dataclass(slots=True, frozen=True)
 class TimedOut:
-    """An attempt's time is over."""
+    """An attempt has reached its timeout."""
 
     leg: int
 
 
 @dataclass(slots=True, frozen=True)
 class Overdue:
-    """The caller has given up by now, and no final answer has been decided."""
+    """The caller's patience has run out and no final answer has been decided."""
 
 
 @dataclass(slots=True, frozen=True)
 class Shutdown:
-    """The process ends: whoever has no final answer by now fails."""
+    """The process ends: a request without a final answer fails."""
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptUpdate:
-    """What a server client told of an attempt."""
+    """What a desk client reports on an attempt."""
 
     leg: int
-    what: Answer | Outcome
+    result: Answer | Outcome
 
 
-Verdict = api.SendSetUp | api.Refuse | api.Fail
-Decision = Verdict | CallerLeft | Shutdown | Overdue  # what ends a wait with no attempt out
-AttemptNews = AttemptUpdate | CallerLeft | api.Cancel | TimedOut | Shutdown  # what ends the wait for a server
-CallNews = AttemptUpdate | CallerLeft  # what ends a call that stands
-News = Verdict | api.Cancel | CallerLeft | TimedOut | Shutdown | Overdue | AttemptUpdate
+Action = api.SendSetUp | api.Refuse | api.Fail
+DecisionMessage = Action | CallerGone | Shutdown | Overdue  # accepted while no attempt is in progress
+AttemptMessage = AttemptUpdate | CallerGone | api.Cancel | TimedOut | Shutdown  # accepted during an attempt
+CallMessage = AttemptUpdate | CallerGone  # accepted during an established call
+SessionMessage = Action | api.Cancel | CallerGone | TimedOut | Shutdown | Overdue | AttemptUpdate
--- a/seamlb/routing/seam.py
+++ b/seamlb/routing/seam.py
@@ -1,8 +1,9 @@
-"""The seam by which subsystems change what the decision module is told, and nothing that it decides.
+"""Filters by which subsystems change the inputs of the decision module; its decisions are not filtered.
 
-Parts stand in an order, and each sees desks as those before it have them. The agent calls all of them: `look` before
-whatever it does, `settings` when the module gets settings, `sent` when it has decided on an attempt, `ended` when
-that was answered or is over, `listed` on news of the list, `changed` when a part may have changed its mind.
+Filters form a chain in which each sees the desks as the previous ones return them. The agent calls every filter:
+`refresh` before each event and request, `filter_settings` when settings go to the module, `attempt_started` when the
+module has decided on an attempt, `attempt_ended` when that was answered or has ended, `filter_desks` on updates of
+the list, and `changed_desks` when the result for some desks may have changed.
 """
 
 from __future__ import annotations
@@ -15,78 +16,79 @@
 
 
 class InputFilter:
-    """A subsystem's part of one agent; as it stands it changes nothing. `now` is seconds, `unix_ms` milliseconds."""
+    """A subsystem's filter; this base class changes nothing. `now` is in seconds, `unix_ms` in milliseconds."""
 
     @property
     def max_open(self) -> float:
-        """Calls that may be open at most."""
+        """The maximum number of open calls."""
         return math.inf
 
     def refresh(self) -> bool:
-        """Is something else to be acted on than when this was last asked? Asked for every event: it must be cheap."""
+        """Whether its result has changed since the last call; called for every event, so it must be cheap."""
         return False
 
     def filter_settings(self, settings: Settings) -> Settings:
-        """The settings that the module is to have."""
+        """The settings to pass to the module."""
         return settings
 
-    def attempt_started(self, now: float, attempt: int, desk: str) -> None:
-        """The module has decided on an attempt."""
+    def attempt_started(self, now: float, call: int, desk: str) -> None:
+        """The module has decided on an attempt for a call."""
 
-    def attempt_ended(self, now: float, attempt: int, status: Status) -> None:
-        """An attempt was answered or is over; also told of one that never began."""
+    def attempt_ended(self, now: float, call: int, status: Status) -> None:
+        """A call's attempt was answered or has ended; also called if it never began."""
 
     def filter_desks(self, now: float, unix_ms: float, desks: Iterable[Desk], whole: bool) -> list[Desk]:
-        """News of the list, as whoever stands behind is to have them."""
+        """An update of the list, as passed on to the next filter; `whole` if it is the complete list."""
         return list(desks)
 
     def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
-        """Desks of which those behind have to be told something else now."""
+        """Desks whose state as passed on has changed without an update of the list."""
         return []
 
 
 class InputFilterChain:
-    """The parts of one agent, in their order."""
+    """The filters of one agent, in order."""
 
     def __init__(self) -> None:
         self.filters: list[InputFilter] = []
 
     def refresh(self) -> bool:
-        """Has any part something else to act on?"""
-        news = [part.refresh() for part in self.filters]  # all of them, as each remembers what it has told
-        return True in news
+        """Whether the result of any filter has changed."""
+        # All are called, as each records the state that it has reported.
+        changes = [input_filter.refresh() for input_filter in self.filters]
+        return True in changes
 
     @property
     def max_open(self) -> float:
-        """Calls that may be open: the least that a part allows."""
-        return min((part.max_open for part in self.filters), default=math.inf)
+        """The maximum number of open calls: the smallest of all filters."""
+        return min((input_filter.max_open for input_filter in self.filters), default=math.inf)
 
     def filter_settings(self, settings: Settings) -> Settings:
-        """The settings as all parts change them, in order."""
-        for part in self.filters:
-            settings = part.filter_settings(settings)
+        """The settings after all filters."""
+        for input_filter in self.filters:
+            settings = input_filter.filter_settings(settings)
         return settings
 
-    def attempt_started(self, now: float, attempt: int, desk: str) -> None:
-        """An attempt goes to a server."""
-        for part in self.filters:
-            part.attempt_started(now, attempt, desk)
+    def attempt_started(self, now: float, call: int, desk: str) -> None:
+        """Notify all filters of an attempt that the module has decided on."""
+        for input_filter in self.filters:
+            input_filter.attempt_started(now, call, desk)
 
-    def attempt_ended(self, now: float, attempt: int, status: Status) -> None:
-        """An attempt has ended."""
-        for part in self.filters:
-            part.attempt_ended(now, attempt, status)
+    def attempt_ended(self, now: float, call: int, status: Status) -> None:
+        """Notify all filters of an attempt that was answered or has ended."""
+        for input_filter in self.filters:
+            input_filter.attempt_ended(now, call, status)
 
     def filter_desks(self, now: float, unix_ms: float, desks: Sequence[Desk], whole: bool) -> Sequence[Desk]:
-        """News of the list as all parts change it, in order."""
-        for part in self.filters:
-            desks = part.filter_desks(now, unix_ms, desks, whole)
+        """An update of the list after all filters."""
+        for input_filter in self.filters:
+            desks = input_filter.filter_desks(now, unix_ms, desks, whole)
         return desks
 
     def changed_desks(self, now: float, unix_ms: float) -> list[Desk]:
-        """Desks of which the module has to be told something else; what a part changes goes through those behind."""
-        found: dict[str, Desk] = {}
-        for part in self.filters:
-            earlier = part.filter_desks(now, unix_ms, list(found.values()), False) if found else []
-            found = {one.ident: one for one in (*part.changed_desks(now, unix_ms), *earlier)}
-        return list(found.values())
+        """Desks whose state for the module has changed; each filter's changes pass through those behind it."""
+        changed: dict[str, Desk] = {}
+        for input_filter in self.filters:
+            filtered = input_filter.filter_desks(now, unix_ms, list(changed.values()), False) if changed else []
+            changed = {desk.ident: desk for desk in (*input_filter.changed_desks(now, unix_ms), *filtered)}
+        return list(changed.values())
--- a/tests/one_turn.py
+++ b/tests/one_turn.py
@@ -75,7 +75,7 @@
         self.session: CallSession | None = None
 
     def _tell(self, how: str) -> None:
-        (self.after_leaving if self.session and self.session.left else self.told).append(how)
+        (self.after_leaving if self.session and self.session.caller_gone else self.told).append(how)
 
     def established(self, description: bytes) -> bool:
         self._tell("stands")
@@ -88,7 +88,7 @@
         self._tell("failed")
 
     def released(self, cause: int) -> None:
-        if self.session and self.session.left:
+        if self.session and self.session.caller_gone:
             self.after_leaving.append("released")
 
 
@@ -166,14 +166,14 @@
 
     def silence(self) -> None:
         """Give the module no alarms from now on."""
-        self.agent._alarm = lambda token, at: None  # type: ignore[method-assign]
+        self.agent._schedule_timer = lambda token, at: None  # type: ignore[method-assign]
 
     async def finish(self) -> None:
         """Let the request come to its end; a call that stands is released by its server."""
         async with asyncio.timeout(PATIENCE_MS / 1000.0 + 1.0):
             while self.agent.tasks:
                 await asyncio.sleep(0.05)
-                if self.session.stood:
+                if self.session.established:
                     self.play("release")
         self.silence()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -208,15 +208,15 @@
                 agent.list_changed(api.Scope.DELTA, [here, replace(here, availability=gone)])
                 continue
             agent.list_changed(api.Scope.DELTA, [self.desk(0, desk.address, gone), here])
-            core = agent.module.node.fleet.servers[agent.numbers[here.ident]]
+            core = agent.module.node.fleet.servers[agent.desk_numbers[here.ident]]
             core.cold_from, core.tokens = float("-inf"), 2.0
             caller.send(invite(ident))
             await caller.until(200)
             agent.list_changed(api.Scope.DELTA, [replace(here, availability=gone), self.desk(0, desk.address)])
             self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
             await self.eventually(lambda: not agent.sessions)
-        self.assertEqual(list(agent.numbers), ["d0"])
-        self.assertEqual(list(agent.names), list(agent.numbers.values()))
+        self.assertEqual(list(agent.desk_numbers), ["d0"])
+        self.assertEqual(list(agent.desk_ids), list(agent.desk_numbers.values()))
         self.assertEqual(agent.next_number, 2021)  # 2,000 desks, and d0 anew each time: no number was given twice
         self.assertEqual((len(agent.listed), len(agent.module.node.fleet.servers), len(desks.links)), (1, 1, 1))
         for left in (
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -61,7 +61,7 @@
         for core in agent.module.node.fleet.servers.values():
             core.tokens = 2.0  # enough for a second choice, whose budget begins at random
         if deaf:
-            agent._alarm = lambda token, at: None  # type: ignore[method-assign]
+            agent._schedule_timer = lambda token, at: None  # type: ignore[method-assign]
         agent.accept(
             Request(
                 ident="a" * 16,
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -15,27 +15,27 @@
 
 way = sys.argv.pop(1)
 rng = random.Random(1)
-live, take = Agent._live, Agent.accept
+run_session, accept = Agent._run_session, Agent.accept
 
 
-async def _slow(self: Agent, life: CallSession) -> None:
+async def _slow(self: Agent, session: CallSession) -> None:
     if rng.random() < 0.1:
         await asyncio.sleep(0.3)
-    await live(self, life)
+    await run_session(self, session)
 
 
 def _refuse(self: Agent, request: Any, caller: Any) -> CallSession | None:
     if request.class_name == "b" and rng.random() < 0.5:
         self.max_open, kept = 0, self.max_open
         try:
-            return take(self, request, caller)
+            return accept(self, request, caller)
         finally:
             self.max_open = kept
-    return take(self, request, caller)
+    return accept(self, request, caller)
 
 
-def _mute(self: Agent, life: CallSession) -> Any:
-    return asyncio.sleep(30.0) if rng.random() < 0.3 else live(self, life)
+def _mute(self: Agent, session: CallSession) -> Any:
+    return asyncio.sleep(30.0) if rng.random() < 0.3 else run_session(self, session)
 
 
 def _disk(mark: Path) -> None:
@@ -55,11 +55,11 @@
 
 match way:
     case "slow":
-        Agent._live = _slow  # type: ignore[method-assign]
+        Agent._run_session = _slow  # type: ignore[method-assign]
     case "refuse":
         Agent.accept = _refuse  # type: ignore[method-assign]
     case "mute":
-        Agent._live = _mute  # type: ignore[method-assign]
+        Agent._run_session = _mute  # type: ignore[method-assign]
     case "crash":
         sys.exit(7)
     case "crash-later":
