--- a/seamlb/__init__.py
+++ b/seamlb/__init__.py
@@ -1,3 +1,3 @@
-"""seamlb: a call agent that routes calls to duty desks, built round one decision module."""
+"""seamlb: a call agent that routes calls to duty desks, built around one decision module."""
 
 __version__ = "0.1.0"
--- a/seamlb/__main__.py
+++ b/seamlb/__main__.py
@@ -3,15 +3,15 @@
 import signal
 import sys
 
-SERVES = ((), ("serve",))  # the first argument where the daemon is started
+SERVE_ARGUMENTS = ((), ("serve",))  # the first argument, if the daemon is to start
 
 
 def run() -> None:
     """Start the command line.
 
-    A SIGHUP that comes before the daemon has its handler would end the process: it waits until the daemon lets it in.
+    A SIGHUP before the daemon installs its handler would end the process: it is blocked until then.
     """
-    if tuple(sys.argv[1:2]) in SERVES:
+    if tuple(sys.argv[1:2]) in SERVE_ARGUMENTS:
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     from seamlb.cli import main
 
--- a/seamlb/cli.py
+++ b/seamlb/cli.py
@@ -23,8 +23,8 @@
     help="The JSON configuration (environment: GW_CONFIG).",
 )
 
-AS_IN_FILE = config.Overrides()
-LAZY = {  # module, name, extra
+NO_OVERRIDES = config.Overrides()
+LAZY_COMMANDS = {  # module, name, extra
     "rollout": ("seamlb.rollout.command", "rollout", "rollout"),
     "zones": ("seamlb.admin", "zones", ""),
     "members": ("seamlb.members.command", "members", ""),
@@ -39,48 +39,48 @@
     envvar="SEAMLB_PLUGINS",
     default="",
     metavar="FILE",
-    help="A TOML file of plug-ins: sip front, sip desks, Consul, hook. Without it all are off.",
+    help="A TOML file of plug-ins: sip front, sip desks, Consul, hook. Without it all are disabled.",
 )
 
 
-def _read(path: str, plugins: str, told: config.Overrides) -> tuple[config.Config, extras.Plugins]:
-    """Both files, checked whole; ConfigError if they can't be used."""
-    loaded = config.load(path, told)
-    found = extras.load_plugins(plugins, loaded) if plugins else extras.Plugins()
-    if not loaded.listen and not found.sip:
+def _load_files(path: str, plugins: str, overrides: config.Overrides) -> tuple[config.Config, extras.Plugins]:
+    """Load and check both files; ConfigError if they are unusable."""
+    loaded = config.load(path, overrides)
+    enabled = extras.load_plugins(plugins, loaded) if plugins else extras.Plugins()
+    if not loaded.listen and not enabled.sip:
         raise config.ConfigError(f"{path}: listen: missing, and no sip front is on")
-    if found.hook:
-        from seamlb.hook import Hook, HookError  # serving without one must not pay for it
+    if enabled.hook:
+        from seamlb.hook import Hook, HookError  # imported only if configured, to keep the start fast
 
         try:
-            Hook(found.hook)
+            Hook(enabled.hook)
         except HookError as error:
             raise config.ConfigError(str(error)) from None
-    return loaded, found
+    return loaded, enabled
 
 
-def _daemon(path: str, plugins: str, told: config.Overrides = AS_IN_FILE) -> Callable[[], Daemon]:
-    """A daemon from checked files, which it reads anew on SIGHUP; one line and exit code 2 if they can't be used."""
+def _daemon_factory(path: str, plugins: str, overrides: config.Overrides = NO_OVERRIDES) -> Callable[[], Daemon]:
+    """Build daemons from checked files, read again on SIGHUP; one line and exit code 2 if they are unusable."""
     try:
-        loaded, found = _read(path, plugins, told)
+        loaded, enabled = _load_files(path, plugins, overrides)
     except config.ConfigError as error:
         click.echo(f"seamlb: {error}", err=True)
         sys.exit(2)
-    return lambda: Daemon(loaded, found, lambda: _read(path, plugins, told))
+    return lambda: Daemon(loaded, enabled, lambda: _load_files(path, plugins, overrides))
 
 
 class Commands(click.Group):
-    """Loads the planner's commands only when they are asked for: serving must not pay for their libraries."""
+    """Imports optional commands only when they are called, to keep the start of the daemon fast."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All sub-commands, without loading those that are loaded late."""
-        return sorted([*super().list_commands(ctx), *LAZY])
+        """All sub-commands, without importing the lazy ones."""
+        return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """A sub-command; one that needs an extra says so if that is not installed."""
-        if cmd_name not in LAZY:
+        """A sub-command; prints the name of the extra that it needs if that is not installed."""
+        if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
-        module, name, extra = LAZY[cmd_name]
+        module, name, extra = LAZY_COMMANDS[cmd_name]
         try:
             command = getattr(importlib.import_module(module), name)
         except ModuleNotFoundError as error:
@@ -93,7 +93,7 @@
 @click.group(invoke_without_command=True, cls=Commands)
 @click.pass_context
 def main(context: click.Context) -> None:
-    """A call agent for duty desks; without a command it serves."""
+    """A call agent for duty desks; serves if no command is given."""
     if context.invoked_subcommand is None:
         serve.main(args=[], prog_name="seamlb serve")
 
@@ -101,22 +101,22 @@
 @main.command()
 @CONFIG
 @PLUGINS
-@click.option("--listen", envvar="GW_LISTEN", default="", metavar="HOST:PORT", help="Where callers connect.")
+@click.option("--listen", envvar="GW_LISTEN", default="", metavar="HOST:PORT", help="The address for callers.")
 @click.option("--name", envvar="GW_NAME", default="", help="This agent's name in its logs.")
-@click.option("--management", envvar="GW_MANAGEMENT", default="", metavar="HOST:PORT", help="Where operators call.")
+@click.option("--management", envvar="GW_MANAGEMENT", default="", metavar="HOST:PORT", help="The management address.")
 @click.option(
     "--inherited-fd",
     envvar="GW_INHERITED_FD",
     type=click.IntRange(0),
     default=None,
     metavar="NUMBER",
-    help="A listening socket handed down by whoever starts this process: callers' connections come by it.",
+    help="Descriptor of an inherited listening socket, on which callers connect.",
 )
 @click.option(
     "--measures",
     envvar="SEAMLB_MEASURES",
     is_flag=True,
-    help="Serve /admin/measures too, which changes in stages are judged by. Needs the extra `rollout`.",
+    help="Also serve /admin/measures, for staged rollouts. Needs the extra `rollout`.",
 )
 def serve(
     path: str, plugins: str, listen: str, name: str, management: str, inherited_fd: int | None, measures: bool
@@ -124,9 +124,9 @@
     """Serve calls until SIGTERM."""
     inherited = inherited_fd
     if inherited is not None and (wrong := listen_socket_error(inherited)):
-        log.event("not_inherited", descriptor=inherited, error=wrong)  # the address is bound instead
+        log.event("not_inherited", descriptor=inherited, error=wrong)  # the configured address is bound instead
         inherited = None
-    build = _daemon(path, plugins, config.Overrides(listen, name, management, inherited, measures))
+    build = _daemon_factory(path, plugins, config.Overrides(listen, name, management, inherited, measures))
 
     logging.basicConfig(handlers=[log.Handler()], level=logging.WARNING)
 
@@ -135,7 +135,7 @@
 
     try:
         asyncio.run(run())
-    except OSError as error:  # an address that can't be bound
+    except OSError as error:  # an address cannot be bound
         click.echo(f"seamlb: {error}", err=True)
         sys.exit(1 if inherited_fd is None else 2)
 
@@ -145,7 +145,7 @@
 @PLUGINS
 def check_config(path: str, plugins: str) -> None:
     """Check the configuration, and the plug-ins' file if one is named."""
-    _daemon(path, plugins)
+    _daemon_factory(path, plugins)
     click.echo(f"{path}: ok")
 
 
--- a/seamlb/config.py
+++ b/seamlb/config.py
@@ -1,4 +1,4 @@
-"""What the daemon is told: the platform's JSON configuration."""
+"""The platform's JSON configuration."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used; its text is one line for the operator."""
+    """An unusable configuration; the text is one line for the operator."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The configuration, checked."""
+    """A checked configuration."""
 
     name: str
     listen: str
-    management: str  # where operators call; none: nowhere
-    inherited: int | None  # descriptor of a listening socket that was handed down
-    measures: bool  # is `/admin/measures` there, which changes in stages are judged by?
+    management: str  # the management address; empty: none
+    inherited: int | None  # descriptor of an inherited listening socket
+    measures: bool  # whether `/admin/measures` is served, for staged rollouts
     seed: int
     sockets: int
     peer_listen: str
@@ -47,29 +47,29 @@
         return tuple(self.settings.tenant_ids)
 
     def missing_key(self, new: Config) -> str:
-        """The first key of this one that a new one has not; empty if it has all."""
-        return _lacks(self.raw, new.raw)
+        """The first key of this configuration that a new one lacks; empty if there is none."""
+        return _missing_key(self.raw, new.raw)
 
 
-def _lacks(old: Any, new: Any, where: str = "") -> str:
-    """Guards against files that are cut or half written: a key with a default would be lost without a word.
+def _missing_key(old: Any, new: Any, parent: str = "") -> str:
+    """Find a missing key, the sign of a truncated file: a key with a default would otherwise be lost silently.
 
-    An object in a list has to have what all in the old list have.
+    An object in a list must have the keys that all objects in the old list have.
     """
     if isinstance(old, Mapping) and isinstance(new, Mapping):
-        inner = f"{where}." if where else ""
+        prefix = f"{parent}." if parent else ""
         return next(
             (
-                found
+                missing
                 for key, value in old.items()
-                if (found := _lacks(value, new[key], inner + key) if key in new else inner + key)
+                if (missing := _missing_key(value, new[key], prefix + key) if key in new else prefix + key)
             ),
             "",
         )
     if isinstance(old, list) and isinstance(new, list) and all(isinstance(one, Mapping) for one in (*old, *new)):
-        shared = set.intersection(*(set(one) for one in old)) if old else set()
+        common = set.intersection(*(set(one) for one in old)) if old else set()
         return next(
-            (f"{where}[{place}].{key}" for place, one in enumerate(new) for key in sorted(shared) if key not in one),
+            (f"{parent}[{index}].{key}" for index, one in enumerate(new) for key in sorted(common) if key not in one),
             "",
         )
     return ""
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Overrides:
-    """What the start says; it comes before what the file says."""
+    """Options given at the start, which take precedence over the file."""
 
     listen: str = ""
     name: str = ""
@@ -86,7 +86,7 @@
     measures: bool = False
 
 
-def load(path: str, told: Overrides = Overrides()) -> Config:
+def load(path: str, overrides: Overrides = Overrides()) -> Config:
     """Read and check a file."""
     try:
         raw = orjson.loads(Path(path).read_bytes())
@@ -97,40 +97,40 @@
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: not an object")
     try:
-        return replace(read(raw, told), source=path)
+        return replace(read(raw, overrides), source=path)
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         text = f"{error} missing" if isinstance(error, KeyError) else str(error)
         raise ConfigError(f"{path}: {text}".replace("\n", " ")) from None
 
 
-def read(raw: Mapping[str, Any], told: Overrides = Overrides()) -> Config:
-    """Check a decoded configuration; what is wrong raises ValueError, TypeError or KeyError."""
+def read(raw: Mapping[str, Any], overrides: Overrides = Overrides()) -> Config:
+    """Check a decoded configuration; errors raise ValueError, TypeError or KeyError."""
     settings = raw["settings"]
     if not isinstance(settings, dict):
         raise ValueError("settings: not an object")
     limits = raw.get("limits") or {}
-    bounds = settings.get("Limits") or {}
+    call_limits = settings.get("Limits") or {}
     classes = [str(one.get("Name", "")) for one in settings.get("Classes") or ()]
     tenants = [str(one["Name"]) for one in settings.get("Tenants") or ()]
-    for part, names in (("Classes", classes), ("Tenants", tenants)):
-        if doubled := [name for name in names if names.count(name) > 1]:
-            raise ValueError(f"settings.{part}: {doubled[0]!r} is there twice")
+    for list_name, names in (("Classes", classes), ("Tenants", tenants)):
+        if duplicates := [name for name in names if names.count(name) > 1]:
+            raise ValueError(f"settings.{list_name}: {duplicates[0]!r} is there twice")
     if raw.get("known"):
         parse_notices(raw["known"])
-    named = {key: raw.get(key) for key in ("listen", "management", "board", "peer_listen")}
-    named |= {key: value for key in ("listen", "management") if (value := getattr(told, key))}
-    addresses = {key: str(address) for key, address in named.items() if address}
+    configured = {key: raw.get(key) for key in ("listen", "management", "board", "peer_listen")}
+    configured |= {key: value for key in ("listen", "management") if (value := getattr(overrides, key))}
+    addresses = {key: str(address) for key, address in configured.items() if address}
     for key, address in addresses.items():
         try:
             split_address(address)
         except ValueError:
             raise ValueError(f"{key}: not host:port: {address!r}") from None
     return Config(
-        name=told.name or str(raw.get("name", "seamlb")),
+        name=overrides.name or str(raw.get("name", "seamlb")),
         listen=addresses.get("listen", ""),
         management=addresses.get("management", ""),
-        inherited=told.inherited,
-        measures=told.measures,
+        inherited=overrides.inherited,
+        measures=overrides.measures,
         seed=int(str(raw.get("seed", "0")), 16),
         sockets=int(limits.get("sockets", 1024)),
         peer_listen=addresses.get("peer_listen", ""),
@@ -140,7 +140,7 @@
         known=raw.get("known"),
         settings=api.Settings.from_mapping(settings),
         zones=tuple(map(str, settings.get("Azs") or ())),
-        connect_timeout=float(bounds.get("ConnectTimeout", 500.0)) / 1000.0,
-        max_open=int(bounds.get("MaxOpen", 20000)),
+        connect_timeout=float(call_limits.get("ConnectTimeout", 500.0)) / 1000.0,
+        max_open=int(call_limits.get("MaxOpen", 20000)),
         raw={key: value for key, value in raw.items() if key != "known"},
     )
--- a/seamlb/extras.py
+++ b/seamlb/extras.py
@@ -1,4 +1,4 @@
-"""What is on beside the platform's front: the plug-ins' TOML file, checked against the configuration."""
+"""Optional components beside the platform's front: the plug-ins' TOML file, checked against the configuration."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SipDesksConfig:
-    """Where the desk side of the sip front listens, and how desks are reached."""
+    """Where the client for SIP desks listens, and the transport by which it reaches desks."""
 
     transport: str = "udp"
     udp: str = ""
@@ -36,17 +36,17 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanConfig:
-    """A plan to follow and its problem, relative to the file that names them."""
+    """The files of a plan and its problem, relative to the file that names them."""
 
     file: str
     problem: str
-    district: str = ""  # where this agent stands; without it the configuration's own
-    until: str = ""  # ISO 8601 with a time zone: from then on the plan steers nothing
+    district: str = ""  # the district of this agent; defaults to its zone in the configuration
+    until: str = ""  # ISO 8601 with a time zone; the plan has no effect from then on
 
 
 @dataclass(slots=True, frozen=True)
 class Plugins:
-    """What is on beside the platform's front; each part is off unless its table is there."""
+    """Optional components beside the platform's front; each is enabled by its table."""
 
     sip: SipFrontConfig | None = None
     desks: SipDesksConfig | None = None
@@ -62,12 +62,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ZonesConfig:
-    """Leaving and returning to zones as a fleet; `[members]` brings the others' word."""
+    """Zone failover as a fleet; the other agents' votes arrive through `[members]`."""
 
-    bears: float  # calls a second that one duty desk bears from all agents together
-    regions: tuple[str, ...] = ()  # each the names of its zones, with a + between them
-    out: float = 15.0  # seconds out of a zone at least, doubled each time it fails on the way back
-    ramp: float = 20.0  # seconds from a tenth of what its desks bear to all
+    bears: float  # calls per second that one duty desk can take from all agents together
+    regions: tuple[str, ...] = ()  # each is the names of its zones, joined by +
+    out: float = 15.0  # minimum seconds out of a zone, doubled each time it fails again during its return
+    ramp: float = 20.0  # seconds from a tenth of the load that its desks can take to all of it
 
 
 def load_plugins(path: str, config: Config) -> Plugins:
@@ -77,24 +77,24 @@
         unknown = raw.keys() - {"sip", "desks", "consul", "hook", "plan", "plugins", "members", "zones", "agree"}
         if unknown:
             raise ValueError(f"unknown table {min(unknown)}")
-        sip, desks = _table(raw, "sip", SipFrontConfig), _table(raw, "desks", SipDesksConfig)
-        consul = _table(raw, "consul", ConsulConfig)
+        sip, desks = _parse_table(raw, "sip", SipFrontConfig), _parse_table(raw, "desks", SipDesksConfig)
+        consul = _parse_table(raw, "consul", ConsulConfig)
         hook = str((raw.get("hook") or {}).get("file", ""))
-        _check_plugins(config, sip, desks, consul)
-        plan = _table(raw, "plan", PlanConfig)
-        followed = _followed(plan, Path(path).parent, config) if plan else None
-        local = _local(raw["plugins"], Path(path).parent) if "plugins" in raw else None
-        members = _table(raw, "members", MembersConfig)
-        keys = _members(members, Path(path).parent) if members else None
-        zones = _table(raw, "zones", ZonesConfig)
+        _check_sip_and_consul(config, sip, desks, consul)
+        plan = _parse_table(raw, "plan", PlanConfig)
+        followed = _load_plan(plan, Path(path).parent, config) if plan else None
+        local_rules = _load_local_rules(raw["plugins"], Path(path).parent) if "plugins" in raw else None
+        members = _parse_table(raw, "members", MembersConfig)
+        keys = _load_member_keys(members, Path(path).parent) if members else None
+        zones = _parse_table(raw, "zones", ZonesConfig)
         _check_zones(config, zones, members)
-        agreed = _agreed(raw, Path(path).parent, config) if "agree" in raw else None
+        agreed = _load_agreed(raw, Path(path).parent, config) if "agree" in raw else None
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except (ValueError, TypeError, AttributeError) as error:  # TOML errors are ValueErrors
         raise ConfigError(f"{path}: {error}".replace("\n", " ")) from None
     file = str(Path(path).parent / hook) if hook else ""
-    return Plugins(sip, desks, consul, file, followed, local, members, keys, zones, agreed)
+    return Plugins(sip, desks, consul, file, followed, local_rules, members, keys, zones, agreed)
 
 
 def _check_zones(config: Config, table: ZonesConfig | None, members: MembersConfig | None) -> None:
@@ -113,9 +113,9 @@
             raise ValueError(f"zones.regions: unknown zone {unknown[0]!r}")
 
 
-def _members(table: MembersConfig, folder: Path) -> MemberKeys:
-    """The keys that the table names, and its addresses checked; ValueError."""
-    for key, address in (("udp", table.udp), *(("seeds", one) for one in table.seeds)):
+def _load_member_keys(table: MembersConfig, folder: Path) -> MemberKeys:
+    """Check the addresses in the table and load its keys; ValueError if that fails."""
+    for key, address in (("udp", table.udp), *(("seeds", seed) for seed in table.seeds)):
         try:
             ipaddress.IPv4Address(split_address(address)[0])
         except ValueError as error:
@@ -123,13 +123,13 @@
     return load_keys(folder / table.keys)
 
 
-def _agreed(raw: Mapping[str, Any], folder: Path, config: Config) -> Agreed | None:
-    """The table with the keys and the founding charter that it names, checked; ValueError."""
+def _load_agreed(raw: Mapping[str, Any], folder: Path, config: Config) -> Agreed | None:
+    """Check the table and load its keys and its initial configuration version; ValueError if that fails."""
     from seamlb.agree.table import AgreeConfig, read
 
-    if (table := _table(raw, "agree", AgreeConfig)) is None:
+    if (table := _parse_table(raw, "agree", AgreeConfig)) is None:
         return None
-    for key, address in (("listen", table.listen), *(("council", one.partition("=")[2]) for one in table.council)):
+    for key, address in (("listen", table.listen), *(("council", item.partition("=")[2]) for item in table.council)):
         if address:
             try:
                 split_address(address)
@@ -139,8 +139,8 @@
     return read(table, folder, config.name, keys.accepted, keys.signing_key)
 
 
-def _local(raw: Any, folder: Path) -> PluginsTable:
-    """The plug-ins' table, its plug-ins loaded once to see that they can be used; else ValueError."""
+def _load_local_rules(raw: Any, folder: Path) -> PluginsTable:
+    """Read the table of plug-ins and load each once as a check; ValueError if that fails."""
     from seamlb.plugins.loading import LoadError, load_all, settings_of
 
     table = settings_of(raw, folder)
@@ -151,9 +151,9 @@
     return table
 
 
-def _followed(plan: PlanConfig, folder: Path, config: Config) -> Followed:
-    """The plan that a file names, checked whole against its problem and this configuration; else ValueError."""
-    # Imported where it is switched on: the platform's path has none of these libraries.
+def _load_plan(plan: PlanConfig, folder: Path, config: Config) -> Followed:
+    """Load a plan and check it against its problem and this configuration; ValueError if that fails."""
+    # Imported only when enabled: a daemon without plug-ins has none of these libraries.
     from seamlb.planning.check import check
     from seamlb.planning.files import load_problem
     from seamlb.planning.follow import Followed
@@ -167,49 +167,49 @@
         raise ValueError(f"plan: {error}") from None
     if table.problem != digest(problem):
         raise ValueError(f"plan.file: {plan.file} was made for another problem than {plan.problem}")
-    # Moves were counted from a plan in force that is not known here; all else must hold.
-    if wrong := [line for line in check(problem, found) if not line.startswith("moves:")]:
-        raise ValueError(f"plan.file: {plan.file}: {wrong[0]}")
+    # Moves are counted from the plan in force, which is not known here; everything else must hold.
+    if violations := [line for line in check(problem, found) if not line.startswith("moves:")]:
+        raise ValueError(f"plan.file: {plan.file}: {violations[0]}")
     classes = {kind.name for kind in config.settings.classes}
     if unknown := sorted(problem.kind.keys() - classes):
         raise ValueError(f"plan.problem: {plan.problem}: unknown class {unknown[0]!r}")
-    if config.tenants and (strange := sorted({o.name for o in problem.offices} - set(config.tenants))):
-        raise ValueError(f"plan.problem: {plan.problem}: unknown office {strange[0]!r}")
+    if config.tenants and (unknown_offices := sorted({o.name for o in problem.offices} - set(config.tenants))):
+        raise ValueError(f"plan.problem: {plan.problem}: unknown office {unknown_offices[0]!r}")
     if plan.district and plan.district not in problem.districts:
         raise ValueError(f"plan.district: unknown district {plan.district!r}")
-    home = config.zones[config.settings.zone] if config.settings.zone < len(config.zones) else ""
+    own_district = config.zones[config.settings.zone] if config.settings.zone < len(config.zones) else ""
     until = math.inf
     if plan.until:
-        told = datetime.fromisoformat(plan.until)
-        if told.tzinfo is None:
+        expiry = datetime.fromisoformat(plan.until)
+        if expiry.tzinfo is None:
             raise ValueError(f"plan.until: {plan.until!r} has no time zone")
-        until = told.timestamp() * 1000.0
-    return Followed(problem, found, plan.district or home, until)
+        until = expiry.timestamp() * 1000.0
+    return Followed(problem, found, plan.district or own_district, until)
 
 
-def _table(raw: Mapping[str, Any], name: str, form: type[T]) -> T | None:
-    """One table as its dataclass: unknown keys and wrong types are named."""
+def _parse_table(raw: Mapping[str, Any], name: str, table_type: type[T]) -> T | None:
+    """Convert a table to its dataclass; ValueError names an unknown key or a wrong type."""
     table = raw.get(name)
     if table is None:
         return None
-    known = {one.name: one.type for one in fields(form)}  # type: ignore[arg-type]
+    known_fields = {field.name: field.type for field in fields(table_type)}  # type: ignore[arg-type]
     for key, value in table.items():
-        if key not in known:
+        if key not in known_fields:
             raise ValueError(f"{name}.{key}: unknown key")
-        kinds: dict[str, tuple[type, ...]] = {
+        accepted_types: dict[str, tuple[type, ...]] = {
             "str": (str,),
             "float": (int, float),
             "int": (int,),
             "tuple[str, ...]": (list,),
         }
-        if isinstance(value, bool) or not isinstance(value, kinds.get(str(known[key]), (dict,))):
+        if isinstance(value, bool) or not isinstance(value, accepted_types.get(str(known_fields[key]), (dict,))):
             raise ValueError(f"{name}.{key}: wrong type: {value!r}")
-        if isinstance(value, list) and not all(isinstance(one, str) for one in value):
+        if isinstance(value, list) and not all(isinstance(item, str) for item in value):
             raise ValueError(f"{name}.{key}: wrong type: {value!r}")
-    return form(**{key: tuple(value) if isinstance(value, list) else value for key, value in table.items()})
+    return table_type(**{key: tuple(value) if isinstance(value, list) else value for key, value in table.items()})
 
 
-def _check_plugins(
+def _check_sip_and_consul(
     config: Config, sip: SipFrontConfig | None, desks: SipDesksConfig | None, consul: ConsulConfig | None
 ) -> None:
     addresses = {"consul.address": consul.address} if consul else {}
@@ -226,9 +226,9 @@
                 raise ValueError(f"{key}: {error}") from None
     classes = {kind.name for kind in config.settings.classes}
     if sip:
-        wrong = ({sip.default_class} - {""} | sip.destinations.keys()) - classes
-        if wrong:
-            raise ValueError(f"sip: unknown class {min(wrong)!r}")
+        unknown = ({sip.default_class} - {""} | sip.destinations.keys()) - classes
+        if unknown:
+            raise ValueError(f"sip: unknown class {min(unknown)!r}")
         if sip.default_tenant and sip.default_tenant not in config.tenants:
             raise ValueError(f"sip.default_tenant: unknown tenant {sip.default_tenant!r}")
     if desks and (desks.transport not in ("udp", "tcp") or not getattr(desks, desks.transport)):
--- a/seamlb/log.py
+++ b/seamlb/log.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON line an event, on standard output."""
+"""Logs: one JSON line per event, on standard output."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 import orjson
 
 _muted = 0
-counts: Counter[str] = Counter()  # lines written, by event
+counts: Counter[str] = Counter()  # lines written, by event name
 
 
 @contextlib.contextmanager
 def muted() -> Iterator[None]:
-    """No lines meanwhile: the emulator hosts many agents whose logs nobody reads."""
+    """Suppress all lines in a block, for the emulator, which runs many agents."""
     global _muted
     _muted += 1
     try:
@@ -28,29 +28,31 @@
         _muted -= 1
 
 
-def event(name: str, /, **facts: Any) -> None:
-    """Write one line; a log nobody reads must not stop the calls."""
+def event(name: str, /, **fields: Any) -> None:
+    """Write one line; a failing write, as to a closed pipe, must not affect calls."""
     if _muted:
         return
     counts[name] += 1
-    record = {"t": round(time.time(), 3), "event": name, **facts}
+    record = {"t": round(time.time(), 3), "event": name, **fields}
     with contextlib.suppress(OSError):
         os.write(1, orjson.dumps(record, default=str, option=orjson.OPT_APPEND_NEWLINE))
 
 
 def trace(error: BaseException) -> list[str]:
-    """Where an exception came from, innermost last."""
-    return [f"{at.filename}:{at.lineno} {at.name}" for at in traceback.extract_tb(error.__traceback__)[-6:]]
+    """The last frames of an exception's traceback, innermost last."""
+    return [
+        f"{frame.filename}:{frame.lineno} {frame.name}" for frame in traceback.extract_tb(error.__traceback__)[-6:]
+    ]
 
 
 class Handler(logging.Handler):
-    """Brings what libraries log into the same lines."""
+    """Writes the log records of libraries as events."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a library's log record as an event."""
-        facts = (
+        """Write one record."""
+        fields = (
             {"error": repr(record.exc_info[1]), "trace": trace(record.exc_info[1])}
             if (record.exc_info and record.exc_info[1])
             else {}
         )
-        event("library", logger=record.name, level=record.levelname, text=record.getMessage(), **facts)
+        event("library", logger=record.name, level=record.levelname, text=record.getMessage(), **fields)
