--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -31,9 +31,9 @@
 GOOD_COMMAND = (sys.executable, "-m", "seamlb")
 
 
-def faulty_command(*way: str) -> tuple[str, ...]:
+def faulty_command(*fault: str) -> tuple[str, ...]:
     """The command of a version with a fault of tests/versions.py."""
-    return (sys.executable, "tests/versions.py", *way)
+    return (sys.executable, "tests/versions.py", *fault)
 
 
 _hosts = itertools.count(1)
