--- a/seamlb/subsystems/lists.py
+++ b/seamlb/subsystems/lists.py
@@ -32,11 +32,11 @@
 
     def _merge(self, on_change: DeskListCallback, board: bool) -> tuple[DeskListCallback, DeskListCallback]:
         # Imported only for two sources: a daemon without plug-ins has one.
-        from seamlb.agree.merged import Merged
+        from seamlb.agree.merged import DeskListMerger
 
-        merged = Merged(("board", "consul"), ("board", "consul") if board else ("consul",), on_change)
-        self.start_merged = merged.begin
-        return merged.source("board"), merged.source("consul")
+        merged = DeskListMerger(("board", "consul"), ("board", "consul") if board else ("consul",), on_change)
+        self.start_merged = merged.publish_first
+        return merged.callback("board"), merged.callback("consul")
 
     def background_tasks(self) -> list[Coroutine[None, None, None]]:
         """The start of the merged list, if there are several sources."""
--- a/seamlb/subsystems/versions.py
+++ b/seamlb/subsystems/versions.py
@@ -5,8 +5,8 @@
 from collections.abc import Coroutine, Mapping
 from dataclasses import replace
 
-from seamlb.agree.link import AgreeLink
-from seamlb.agree.table import Agreed
+from seamlb.agree.link import AgreementService
+from seamlb.agree.table import AgreeSettings
 from seamlb.config import Config
 from seamlb.extras import Plugins
 from seamlb.routing.agent import Agent
@@ -18,36 +18,40 @@
 
     RELOADABLE = ("agree",)
 
-    def __init__(self, config: Config, table: Agreed, agent: Agent) -> None:
+    def __init__(self, config: Config, table: AgreeSettings, agent: Agent) -> None:
         self.table = table
-        self.link = AgreeLink(table, config.name, config.zones, agent.refresh)
-        agent.filter_chain.filters.append(self.link.acting)
+        self.service = AgreementService(table, config.name, config.zones, agent.refresh)
+        agent.filter_chain.filters.append(self.service.enforcer)
         agent.refresh()
 
     def views(self) -> Mapping[str, View]:
         """The version in force and the state of the agreement."""
-        return {"/admin/agree": self.link.table}
+        return {"/admin/agree": self.service.status}
 
     def commands(self) -> Mapping[str, Command]:
         """Proposals by operators."""
-        return {"/admin/agree/propose": self.link.propose}
+        return {"/admin/agree/propose": self.service.propose}
 
     def background_tasks(self) -> list[Coroutine[None, None, None]]:
         """The protocol with the other agents."""
-        return [self.link.run()]
+        return [self.service.run()]
 
     def check(self, plugins: Plugins) -> list[str]:
         """Only keys are reloaded; any other change needs a restart."""
         new = plugins.agree
         if new is None:
             return ["agree"]
-        return [] if replace(new, taken=self.table.taken, send=self.table.send) == self.table else ["agree"]
+        return (
+            []
+            if replace(new, accepted_keys=self.table.accepted_keys, signing_key=self.table.signing_key) == self.table
+            else ["agree"]
+        )
 
     def reload(self, config: Config, plugins: Plugins) -> None:
         """Apply new keys."""
         if plugins.agree:
-            self.link.rotate(plugins.agree.taken, plugins.agree.send)
+            self.service.rotate(plugins.agree.accepted_keys, plugins.agree.signing_key)
 
     async def close(self) -> None:
         """Close the sockets and release the folder."""
-        self.link.close()
+        self.service.close()
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -72,7 +72,7 @@
     case "disk":  # faulty while a file exists; its content selects the fault
         _inject_disk_faults(Path(sys.argv.pop(1)))
     case "eager":  # continues to act after its lease has expired
-        from seamlb.agree.holder import Holder, Stance
+        from seamlb.agree.holder import LeaseHolder, LeaseState
 
-        Holder.stance = lambda self, now: Stance.PLAIN  # type: ignore[method-assign]
+        LeaseHolder.lease_state = lambda self, now: LeaseState.IN_FORCE  # type: ignore[method-assign]
 main()
