--- a/seamlb/routing/agent.py
+++ b/seamlb/routing/agent.py
@@ -30,7 +30,7 @@
     ) -> None:
         super().__init__(settings, seed, clock, steering, advisor)
         self.max_open = max_open
-        self.rejects_requests: Callable[[], bool] = lambda: False  # set while the process drains and cannot wait
+        self.rejects_requests: Callable[[], bool] = lambda: False  # refuses new requests late in a quiesce
         self.observe = observe
         self.measure: Callable[[str, str, float], None] | None = None  # called at each end: class, outcome, ms
         self.tasks: set[asyncio.Task[None]] = set()
@@ -40,7 +40,7 @@
         self.idle.set()
 
     def accept(self, request: Request, caller: Caller) -> CallSession | None:
-        """Accept a request and answer it through `caller`; None if refused at once (too many open, or draining)."""
+        """Accept a request and answer it through `caller`; None if refused at once (too many open, or emptied)."""
         self.refresh()
         if self.unanswered >= min(self.max_open, self.filter_chain.max_open) or self.rejects_requests():
             self.counters.throttled[request.class_name] += 1
