--- a/seamlb/subsystems/measures.py
+++ b/seamlb/subsystems/measures.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Coroutine, Mapping
 
-from seamlb.rollout.measures import Measures
+from seamlb.rollout.measures import CanaryMetrics
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Subsystem, View
 
@@ -13,13 +13,13 @@
     """`/admin/measures`."""
 
     def __init__(self, agent: Agent) -> None:
-        self.measures = Measures()
-        agent.measure = self.measures.ended
+        self.metrics = CanaryMetrics()
+        agent.measure = self.metrics.record_outcome
 
     def views(self) -> Mapping[str, View]:
-        """The measures."""
-        return {"/admin/measures": self.measures.table}
+        """The metrics."""
+        return {"/admin/measures": self.metrics.snapshot}
 
     def background_tasks(self) -> list[Coroutine[None, None, None]]:
         """Samples the lag of the event loop."""
-        return [self.measures.run()]
+        return [self.metrics.run()]
