--- a/seamlb/drain.py
+++ b/seamlb/drain.py
@@ -12,7 +12,7 @@
 from seamlb.routing.agent import Agent
 
 if TYPE_CHECKING:
-    from seamlb.fronts.sip import SipFront  # loaded only where it is on
+    from seamlb.fronts.sip import SipFront  # imported only if enabled
 
 UPDATE_INTERVAL_S = 0.05  # between two applications of the lifecycle to listeners and connections
 
--- a/seamlb/routing/agent.py
+++ b/seamlb/routing/agent.py
@@ -40,7 +40,7 @@
         self.idle.set()
 
     def accept(self, request: Request, caller: Caller) -> CallSession | None:
-        """Accept a request and answer it through `caller`; None if refused at once (too many open, or emptied)."""
+        """Accept a request and answer it through `caller`; None if refused at once (too many open, or quiescing)."""
         self.refresh()
         if self.unanswered >= min(self.max_open, self.filter_chain.max_open) or self.rejects_requests():
             self.counters.throttled[request.class_name] += 1
--- a/seamlb/routing/counters.py
+++ b/seamlb/routing/counters.py
@@ -1,4 +1,4 @@
-"""Counters of requests for operators; each event is counter once, where it occurs. They start at 0."""
+"""Counters of requests for operators; each event is counted once, where it occurs. They start at 0."""
 
 from __future__ import annotations
 
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -12,9 +12,7 @@
 SOCKETS = 512  # descriptor limit of the process
 MAX_OPEN = 100
 CONNECTIONS = 600  # more than the process accepts
-PARTIAL_MESSAGE = (
-    b"INVITE sip:a SIP/2.0\r\nVia: " + b"p" * 15_000
-)  # within the size limit of a message, and never completed
+PARTIAL_MESSAGE = b"INVITE sip:a SIP/2.0\r\nVia: " + b"p" * 15_000  # below the size limit of a message
 PIPELINED_REQUESTS = 400  # on each connection of a caller that reads nothing
 PIPELINING_CALLERS = 40
 RETRIES = 6_000  # refused calls, more than the agent remembers
