--- a/seamlb/subsystems/versions.py
+++ b/seamlb/subsystems/versions.py
@@ -1,4 +1,4 @@
-"""Agreed versions of a site's rules."""
+"""Versions of a site's rules on which its agents agree."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from seamlb.config import Config
 from seamlb.extras import Plugins
 from seamlb.routing.agent import Agent
-from seamlb.subsystems import Order, Subsystem, Table
+from seamlb.subsystems import Command, Subsystem, View
 
 
-class VersionsPart(Subsystem):
+class AgreeSubsystem(Subsystem):
     """`[agree]`."""
 
-    TAKES = ("agree",)
+    RELOADABLE = ("agree",)
 
     def __init__(self, config: Config, table: AgreeSettings, agent: Agent) -> None:
         self.table = table
-        self.link = AgreementService(table, config.name, config.zones, agent.refresh)
-        agent.filter_chain.filters.append(self.link.enforcer)
+        self.service = AgreementService(table, config.name, config.zones, agent.refresh)
+        agent.filter_chain.filters.append(self.service.enforcer)
         agent.refresh()
 
-    def tables(self) -> Mapping[str, Table]:
-        """What is acted on, for operators."""
-        return {"/admin/agree": self.link.status}
+    def views(self) -> Mapping[str, View]:
+        """The version in force and the state of the agreement."""
+        return {"/admin/agree": self.service.status}
 
-    def orders(self) -> Mapping[str, Order]:
-        """Proposals of operators."""
-        return {"/admin/agree/propose": self.link.propose}
+    def commands(self) -> Mapping[str, Command]:
+        """Proposals by operators."""
+        return {"/admin/agree/propose": self.service.propose}
 
-    def runs(self) -> list[Coroutine[None, None, None]]:
-        """The part that talks to the other agents."""
-        return [self.link.run()]
+    def background_tasks(self) -> list[Coroutine[None, None, None]]:
+        """The protocol with the other agents."""
+        return [self.service.run()]
 
     def check(self, plugins: Plugins) -> list[str]:
-        """Keys are taken over; what else is new waits."""
+        """Only keys are reloaded; any other change needs a restart."""
         new = plugins.agree
         if new is None:
             return ["agree"]
@@ -48,10 +48,10 @@
         )
 
     def reload(self, config: Config, plugins: Plugins) -> None:
-        """Take new keys."""
+        """Apply new keys."""
         if plugins.agree:
-            self.link.rotate(plugins.agree.accepted_keys, plugins.agree.signing_key)
+            self.service.rotate(plugins.agree.accepted_keys, plugins.agree.signing_key)
 
     async def close(self) -> None:
-        """Close the sockets and let go of the folder."""
-        self.link.close()
+        """Close the sockets and release the folder."""
+        self.service.close()
