--- a/seamlb/protocol/__init__.py
+++ b/seamlb/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and state machines without input or output; a clock is passed in where one is needed."""
+"""Parsers and state machines that do no I/O; the caller passes the current time where one is needed."""
--- a/seamlb/protocol/http.py
+++ b/seamlb/protocol/http.py
@@ -1,17 +1,17 @@
-"""HTTP/1.1 (RFC 9112) as a client reads responses and as a server reads requests, without input or output."""
+"""HTTP/1.1 (RFC 9112) without I/O: a client's parser of responses and a server's parser of requests."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 8 * 1024 * 1024
-MAX_REQUEST_BODY = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_RESPONSE_BODY_BYTES = 8 * 1024 * 1024
+MAX_REQUEST_BODY_BYTES = 64 * 1024
 
 
 class HttpError(Exception):
-    """Bytes that are no message, or a message too large; `status` answers a request."""
+    """A malformed or oversized message; a server answers such a request with `status`."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -28,12 +28,12 @@
 
     @property
     def keep_alive(self) -> bool:
-        """May the connection carry another request?"""
+        """Whether the connection can be used for another request."""
         return self.headers.get("connection", "").lower() != "close"
 
 
 def get_request(path: str, host: str, *extra: tuple[str, str]) -> bytes:
-    """A GET request's bytes."""
+    """Encodes a GET request with additional headers."""
     lines = [f"GET {path} HTTP/1.1", f"Host: {host}", *(f"{name}: {value}" for name, value in extra)]
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
@@ -49,17 +49,19 @@
 
     @property
     def path(self) -> str:
-        """The target's path: without scheme and host, which proxies send, and without the query."""
+        """The path of the target, without the query and without the scheme and host that proxies send."""
         rest = self.target.partition("://")[2]
         path = "/" + rest.partition("/")[2] if rest else self.target
         return path.partition("?")[0]
 
 
-def encode_response(status: int, body: bytes = b"", *extra: tuple[str, str], kind: str = "application/json") -> bytes:
-    """A response's bytes; the connection ends with it."""
+def encode_response(
+    status: int, body: bytes = b"", *extra: tuple[str, str], content_type: str = "application/json"
+) -> bytes:
+    """Encodes a response that tells the client that the connection will be closed."""
     lines = [
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
-        f"Content-Type: {kind}",
+        f"Content-Type: {content_type}",
         f"Content-Length: {len(body)}",
         "Connection: close",
         *(f"{name}: {value}" for name, value in extra),
@@ -67,10 +69,10 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-def _head(data: bytearray) -> tuple[str, dict[str, str], int] | None:
-    """First line, headers by lower-case name, and where the body starts; None while the head is not whole."""
+def _parse_head(data: bytearray) -> tuple[str, dict[str, str], int] | None:
+    """Returns the first line, the headers by lower-case name and the body's offset; None while incomplete."""
     end = data.find(b"\r\n\r\n")
-    if end > MAX_HEAD or (end < 0 and len(data) > MAX_HEAD):
+    if end > MAX_HEAD_BYTES or (end < 0 and len(data) > MAX_HEAD_BYTES):
         raise HttpError("head too large", 431)
     if end < 0:
         return None
@@ -84,67 +86,74 @@
     return first, headers, end + 4
 
 
-def _body(data: bytearray, headers: dict[str, str], at: int, usual: str, most: int) -> tuple[bytes, int] | None:
-    """The body that starts at `at`, and where it ends; None while it is not whole. `usual`: its length if untold."""
+def _parse_body(
+    data: bytearray, headers: dict[str, str], start: int, default_length: str, max_size: int
+) -> tuple[bytes, int] | None:
+    """Returns the body and the offset of its end; None while incomplete.
+
+    `default_length` is the value assumed without a Content-Length header; "" makes the header mandatory.
+    """
     if headers.get("transfer-encoding", "").lower() == "chunked":
-        return _chunks(data, at, most)
-    length = headers.get("content-length", usual)
+        return _parse_chunked_body(data, start, max_size)
+    length = headers.get("content-length", default_length)
     if not length.isascii() or not length.isdigit():
         raise HttpError("bad Content-Length")
-    if int(length) > most:
+    if int(length) > max_size:
         raise HttpError("body too large", 413)
-    after = at + int(length)
-    return (bytes(data[at:after]), after) if len(data) >= after else None
+    end = start + int(length)
+    return (bytes(data[start:end]), end) if len(data) >= end else None
 
 
-def _chunks(data: bytearray, at: int, most: int) -> tuple[bytes, int] | None:
-    """Put the chunks together."""
-    whole = bytearray()
+def _parse_chunked_body(data: bytearray, position: int, max_size: int) -> tuple[bytes, int] | None:
+    """Returns the joined chunks and the offset of the body's end; None while incomplete."""
+    body = bytearray()
     while True:
-        line = data.find(b"\r\n", at)
-        if line < 0:
+        line_end = data.find(b"\r\n", position)
+        if line_end < 0:
             return None
         try:
-            size = int(bytes(data[at:line]).split(b";")[0], 16)
+            size = int(bytes(data[position:line_end]).split(b";")[0], 16)
         except ValueError:
             raise HttpError("bad chunk size") from None
-        if size < 0 or len(whole) + size > most:
+        if size < 0 or len(body) + size > max_size:
             raise HttpError("body too large", 413)
-        at = line + 2
+        position = line_end + 2
         if size == 0:
-            close = data.find(b"\r\n", at)
-            while close > at:  # trailers
-                at = close + 2
-                close = data.find(b"\r\n", at)
-            return (bytes(whole), close + 2) if close >= 0 else None
-        whole += data[at : at + size]
-        at += size + 2
-        if at > len(data):
+            trailer_end = data.find(b"\r\n", position)
+            while trailer_end > position:  # skips trailer fields
+                position = trailer_end + 2
+                trailer_end = data.find(b"\r\n", position)
+            return (bytes(body), trailer_end + 2) if trailer_end >= 0 else None
+        body += data[position : position + size]
+        position += size + 2
+        if position > len(data):
             return None
 
 
 class ResponseReader:
-    """Reads one response after another; give it bytes, take responses."""
+    """Incremental parser of the responses on one connection."""
 
     def __init__(self) -> None:
         self.data = bytearray()
 
     def feed(self, data: bytes) -> Response | None:
-        """The next response once it is whole; interim ones are passed over."""
+        """Adds bytes and returns the next complete response, if any; interim (1xx) responses are skipped."""
         self.data += data
         while True:
-            head = _head(self.data)
+            head = _parse_head(self.data)
             if head is None:
                 return None
-            first, headers, at = head
-            words = first.split(" ", 2)
-            if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
+            first, headers, body_start = head
+            parts = first.split(" ", 2)
+            if len(parts) < 2 or not parts[0].startswith("HTTP/1.") or not parts[1].isdigit():
                 raise HttpError(f"bad status line {first[:40]!r}")
-            status = int(words[1])
+            status = int(parts[1])
             if 100 <= status < 200:
-                del self.data[:at]
+                del self.data[:body_start]
                 continue
-            body = _body(self.data, headers, at, "0" if status in (204, 304) else "", MAX_BODY)
+            body = _parse_body(
+                self.data, headers, body_start, "0" if status in (204, 304) else "", MAX_RESPONSE_BODY_BYTES
+            )
             if body is None:
                 return None
             del self.data[: body[1]]
@@ -152,26 +161,26 @@
 
 
 class RequestReader:
-    """Reads one request; what comes behind it is not looked at."""
+    """Incremental parser of a single request; bytes after it are ignored."""
 
     def __init__(self) -> None:
         self.data = bytearray()
 
     def feed(self, data: bytes) -> Request | None:
-        """The request once it is whole."""
+        """Adds bytes and returns the request once it is complete."""
         self.data += data
-        while self.data.startswith(b"\r\n"):  # 2.2: an empty line before a request is passed over
+        while self.data.startswith(b"\r\n"):  # RFC 9112, 2.2: empty lines before a request are ignored
             del self.data[:2]
-        head = _head(self.data)
+        head = _parse_head(self.data)
         if head is None:
             return None
-        first, headers, at = head
-        words = first.split(" ")
-        if len(words) != 3 or not words[0].isalpha() or not words[1] or not words[2].startswith("HTTP/"):
+        first, headers, body_start = head
+        parts = first.split(" ")
+        if len(parts) != 3 or not parts[0].isalpha() or not parts[1] or not parts[2].startswith("HTTP/"):
             raise HttpError(f"bad request line {first[:40]!r}")
-        if not words[2].startswith("HTTP/1."):
+        if not parts[2].startswith("HTTP/1."):
             raise HttpError("unknown version", 505)
         if headers.get("transfer-encoding", "chunked").lower() != "chunked":
             raise HttpError("unknown transfer coding", 501)
-        body = _body(self.data, headers, at, "0", MAX_REQUEST_BODY)
-        return Request(words[0], words[1], headers, body[0]) if body else None
+        body = _parse_body(self.data, headers, body_start, "0", MAX_REQUEST_BODY_BYTES)
+        return Request(parts[0], parts[1], headers, body[0]) if body else None
--- a/seamlb/protocol/notices.py
+++ b/seamlb/protocol/notices.py
@@ -1,4 +1,4 @@
-"""The notice board's events: changes to the list of duty desks."""
+"""Events of the notice board: changes to the list of duty desks."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class NoticeError(ValueError):
-    """An object that is no list of notices."""
+    """The object is not a valid list of notices."""
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """A duty desk as the board names it."""
+    """A duty desk as listed by the board."""
 
     ident: str
     address: str
@@ -25,34 +25,34 @@
 
 @dataclass(slots=True, frozen=True)
 class Notice:
-    """One event: the whole list, or what has changed."""
+    """One event: the complete list or the changed entries."""
 
     event_number: int
-    list_revision: int  # of the list itself, whoever tells it; 0: not told
+    list_revision: int  # revision of the list itself, the same at every board; 0 if missing
     complete: bool
     members: tuple[Member, ...]
 
 
 def parse_notices(raw: Any) -> tuple[int, list[Notice]]:
-    """The last number and the events, in order."""
+    """Returns the last event number and the events in order."""
     try:
         return int(raw["rev"]), [
             Notice(
-                int(one["rev"]),
-                int(one["pool"].get("revision") or 0),
-                bool(one["pool"]["complete"]),
-                tuple(map(_member, one["pool"]["members"])),
+                int(notice["rev"]),
+                int(notice["pool"].get("revision") or 0),
+                bool(notice["pool"]["complete"]),
+                tuple(map(_parse_member, notice["pool"]["members"])),
             )
-            for one in raw["notices"]
+            for notice in raw["notices"]
         ]
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise NoticeError(f"not a list of notices: {type(error).__name__} {error}") from None
 
 
-def _member(raw: Mapping[str, Any]) -> Member:
+def _parse_member(raw: Mapping[str, Any]) -> Member:
     host, _, port = str(raw["host_port"]).rpartition(":")
     if not host or not port.isdigit():
-        raise ValueError(f"no address: {raw['host_port']!r}")
+        raise ValueError(f"invalid host_port: {raw['host_port']!r}")
     return Member(
         ident=str(raw["id"]),
         address=str(raw["host_port"]),
--- a/seamlb/protocol/sip.py
+++ b/seamlb/protocol/sip.py
@@ -1,4 +1,4 @@
-"""SIP messages and their framing on a stream (RFC 3261, 7 and 18.3), without input or output."""
+"""SIP messages and their framing on a stream (RFC 3261, sections 7 and 18.3), without I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 MAX_MESSAGE_BYTES = 16 * 1024
-STARTS = (b"SIP/2.0 ", b"BYE sip:", b"NOTIFY sip:", b"OPTIONS sip:")  # what a desk's messages begin with
+MESSAGE_STARTS = (b"SIP/2.0 ", b"BYE sip:", b"NOTIFY sip:", b"OPTIONS sip:")  # of the messages that desks send
 METHODS = (  # RFC 3261 and its extensions
     b"ACK",
     b"BYE",
@@ -24,10 +24,10 @@
     b"SUBSCRIBE",
     b"UPDATE",
 )
-START_SEEN = 3  # bytes of a start at a body's end that can't be chance
-TAILS = tuple(start[:size] for start in STARTS for size in range(START_SEEN, len(start)))
-RELEASE = re.compile(rb"BYE sips?:\S+ SIP/2\.0\r\n((?:[A-Za-z-]+:[^\r\n]*\r\n)+)")
-COMPACT = {
+MIN_START_BYTES = 3  # shorter ones may end a body by chance
+PARTIAL_STARTS = tuple(start[:size] for start in MESSAGE_STARTS for size in range(MIN_START_BYTES, len(start)))
+BYE_PATTERN = re.compile(rb"BYE sips?:\S+ SIP/2\.0\r\n((?:[A-Za-z-]+:[^\r\n]*\r\n)+)")
+COMPACT_HEADERS = {
     "v": "via",
     "f": "from",
     "t": "to",
@@ -39,7 +39,7 @@
     "e": "content-encoding",
     "s": "subject",
 }
-REASONS = {
+REASON_PHRASES = {
     100: "Trying",
     200: "OK",
     400: "Bad Request",
@@ -59,16 +59,16 @@
 
 
 class SipError(Exception):
-    """Bytes that are no SIP message; `message` holds what could be read, `status` what to answer."""
+    """A malformed message; `message` holds the part that was parsed, `status` is the response code."""
 
     def __init__(self, reason: str, message: Message | None = None, status: int = 400, fatal: bool = True) -> None:
         super().__init__(reason)
         self.message = message
         self.status = status
-        self.fatal = fatal  # the end of the message is unknown: nothing after it can be read
+        self.fatal = fatal  # the end of the message is unknown, so the rest of the stream can't be parsed
 
     def request_to_answer(self) -> Message | None:
-        """The request to answer, if it holds what an answer must copy."""
+        """Returns the request if it can be answered: it has the headers that a response must copy."""
         message = self.message
         if message is None or message.method in ("", "ACK"):
             return None
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request (`method`, `uri`) or a response (`status`, `reason`)."""
+    """A request (`method` and `uri` set) or a response (`status` and `reason` set)."""
 
     method: str = ""
     uri: str = ""
@@ -87,20 +87,20 @@
     body: bytes = b""
 
     def get(self, name: str, default: str = "") -> str:
-        """The first header of that name, given in lower case."""
+        """Returns the first header of that name, which is given in lower case."""
         return next((value for key, value in self.headers if key.lower() == name), default)
 
     def get_all(self, name: str) -> list[str]:
-        """All headers of that name, lists at commas taken apart."""
+        """Returns the values of all headers of that name, with comma-separated lists split."""
         return [part for key, value in self.headers if key.lower() == name for part in split_list(value)]
 
     def cseq(self) -> tuple[int, str]:
-        """Number and method of CSeq; (-1, "") if it can't be read."""
+        """Returns the number and method of the CSeq header; (-1, "") if it is malformed."""
         number, _, method = self.get("cseq").partition(" ")
         return (int(number), method.strip()) if is_decimal(number) and int(number) < 2**31 else (-1, "")
 
     def encode(self) -> bytes:
-        """The bytes for the wire; Content-Length is written here and only here."""
+        """Serializes the message; Content-Length is added here and nowhere else."""
         start = f"{self.method} {self.uri} SIP/2.0" if self.method else f"SIP/2.0 {self.status} {self.reason}"
         lines = [start, *(f"{name}: {value}" for name, value in self.headers)]
         lines.append(f"Content-Length: {len(self.body)}\r\n\r\n")
@@ -108,37 +108,37 @@
 
 
 def is_decimal(text: str) -> bool:
-    """Plain ASCII digits, as int() also takes signs, blanks, underscores and other scripts."""
+    """Accepts 1 to 10 ASCII digits only; int() also accepts signs, blanks, underscores and other scripts."""
     return text.isascii() and text.isdigit() and len(text) <= 10
 
 
 def split_list(value: str) -> list[str]:
-    """Split at commas outside quotes and angle brackets."""
+    """Splits at commas outside quotes and angle brackets."""
     if "," not in value:
         return [value]
     parts, start, quoted, angle = [], 0, False, False
-    for at, char in enumerate(value):
-        if char == '"' and (at == 0 or value[at - 1] != "\\"):
+    for position, char in enumerate(value):
+        if char == '"' and (position == 0 or value[position - 1] != "\\"):
             quoted = not quoted
         elif not quoted and char in "<>":
             angle = char == "<"
         elif char == "," and not quoted and not angle:
-            parts.append(value[start:at].strip())
-            start = at + 1
+            parts.append(value[start:position].strip())
+            start = position + 1
     return [part for part in (*parts, value[start:].strip()) if part]
 
 
 def parameter(value: str, name: str) -> str:
-    """A ;name=value of a header, looked for behind the address; "" if it is not there."""
+    """Returns the value of a header parameter after the address; "" if it is missing."""
     for part in value.rpartition(">")[2].split(";")[1:]:
-        key, _, found = part.partition("=")
+        key, _, argument = part.partition("=")
         if key.strip().lower() == name:
-            return found.strip()
+            return argument.strip()
     return ""
 
 
 def response(request: Message, status: int, *extra: tuple[str, str], body: bytes = b"", tag: str = "") -> Message:
-    """A response with what RFC 3261 8.2.6 has copied from the request."""
+    """Builds a response with the headers copied from the request that RFC 3261, 8.2.6 requires."""
     headers = []
     for name, value in request.headers:
         key = name.lower()
@@ -146,11 +146,11 @@
             value = f"{value};tag={tag}"
         if key in ("via", "from", "to", "call-id", "cseq"):
             headers.append((name, value))
-    return Message(status=status, reason=REASONS.get(status, "Unknown"), headers=[*headers, *extra], body=body)
+    return Message(status=status, reason=REASON_PHRASES.get(status, "Unknown"), headers=[*headers, *extra], body=body)
 
 
 def parse_head(head: bytes) -> Message:
-    """Read the lines before the empty one; the body is the caller's matter."""
+    """Parses the start line and headers; the caller reads the body."""
     text = head.decode("utf-8", "surrogateescape").replace("\r\n ", " ").replace("\r\n\t", " ")
     first, *lines = text.split("\r\n")
     message = Message()
@@ -160,22 +160,22 @@
             raise SipError("bad status line")
         message.status = int(code)
     else:
-        words = first.split(" ")
-        if len(words) != 3 or not words[2].upper().startswith("SIP/") or not words[0].isascii():
+        parts = first.split(" ")
+        if len(parts) != 3 or not parts[2].upper().startswith("SIP/") or not parts[0].isascii():
             raise SipError("bad start line")
-        message.method, message.uri = words[0], words[1]
-    bad = ""
+        message.method, message.uri = parts[0], parts[1]
+    error = ""
     for line in lines:
         name, colon, value = line.partition(":")
         name = name.strip()
         if not colon or not name or " " in name:
-            bad = bad or "bad header line"
+            error = error or "bad header line"
             continue
-        message.headers.append((COMPACT.get(name.lower(), name), value.strip()))
+        message.headers.append((COMPACT_HEADERS.get(name.lower(), name), value.strip()))
     if message.method and not first.endswith(" SIP/2.0"):
         raise SipError("unknown version", message, 505, fatal=False)
-    if bad:
-        raise SipError(bad, message, fatal=False)
+    if error:
+        raise SipError(error, message, fatal=False)
     number, method = message.cseq()
     if not message.get("call-id") or number < 0 or (message.method and method != message.method):
         raise SipError("Call-ID or CSeq missing or wrong", message, fatal=False)
@@ -183,83 +183,82 @@
 
 
 def content_length(message: Message) -> int | None:
-    """The one length that is told; None if none is. Raises on what differs or is no number."""
-    told = {value for key, value in message.headers if key.lower() == "content-length"}
-    if not told:
+    """Returns the Content-Length, None without one; raises SipError if values differ or are malformed."""
+    values = {value for key, value in message.headers if key.lower() == "content-length"}
+    if not values:
         return None
-    text = told.pop()
-    if told or not is_decimal(text):
+    text = values.pop()
+    if values or not is_decimal(text):
         raise SipError("bad Content-Length", message)
     return int(text)
 
 
-def begins(data: bytes) -> bool:
-    """May a message begin so, as far as it has come?"""
+def may_start_message(data: bytes) -> bool:
+    """Reports whether the bytes received so far can be the start of a message."""
     word, space, _ = data.partition(b" ")
     if space:
         return word in METHODS or word.startswith(b"SIP/")
-    return data.startswith((b"\r", b"SIP/")) or any(one.startswith(data) for one in (*METHODS, b"SIP/"))
+    return data.startswith((b"\r", b"SIP/")) or any(start.startswith(data) for start in (*METHODS, b"SIP/"))
 
 
-def torn(body: bytes, rest: bytes) -> bool:
-    """Has a body that stopped short been filled up with what came after it?
+def is_corrupt(body: bytes, rest: bytes) -> bool:
+    """Reports whether a body was truncated and then completed with bytes of the next message.
 
-    Guards callers against a description that no desk gave: the length fits, but another message begins inside, or
-    what is left begins in the middle of one.
+    Its length fits, but another message starts within it, or `rest` starts in the middle of one. Callers must not
+    receive such a corrupt session description.
     """
-    inside = any(start in body for start in STARTS)
-    return inside or body.endswith(TAILS) or not begins(rest)
+    starts_within = any(start in body for start in MESSAGE_STARTS)
+    return starts_within or body.endswith(PARTIAL_STARTS) or not may_start_message(rest)
 
 
 def find_byes(data: bytes) -> list[Message]:
-    """The releases in bytes whose framing is lost, also cut off behind their call's name: each names it itself."""
-    found = []
-    for one in RELEASE.finditer(data):
-        lines = (line.partition(":") for line in one[1].decode("ascii", "replace").split("\r\n")[:-1])
-        headers = [(COMPACT.get(name.lower(), name), value.strip()) for name, _, value in lines]
+    """Finds the BYEs in bytes whose framing is lost, also those truncated after the Call-ID header."""
+    byes = []
+    for match in BYE_PATTERN.finditer(data):
+        lines = (line.partition(":") for line in match[1].decode("ascii", "replace").split("\r\n")[:-1])
+        headers = [(COMPACT_HEADERS.get(name.lower(), name), value.strip()) for name, _, value in lines]
         message = Message("BYE", headers=headers)
         if message.get("call-id"):
-            found.append(message)
-    return found
+            byes.append(message)
+    return byes
 
 
 class Framer:
-    """Cuts a stream into messages; SipError with `fatal` set ends it, and the unread bytes are in `unparsed`.
-
-    `check_bodies` has bodies looked at for messages that were swallowed by one that stopped short.
-    """
+    """Splits a stream into messages; a fatal SipError ends it and leaves the remaining bytes in `unparsed`."""
 
     def __init__(self, limit: int = MAX_MESSAGE_BYTES, check_bodies: bool = False) -> None:
         self.limit = limit
-        self.check_bodies = check_bodies
+        self.check_bodies = check_bodies  # a body that was completed with the next message is a fatal error
         self.data = bytearray()
         self.unparsed = b""
 
     def feed(self, data: bytes) -> None:
-        """Take bytes of the stream."""
+        """Appends bytes of the stream."""
         self.data += data
 
-    def feed_and_dispatch(self, data: bytes, good: Callable[[Message], None], bad: Callable[[SipError], None]) -> int:
-        """Feed bytes and hand over what is whole, up to an error that ends the stream; how many there were."""
+    def feed_and_dispatch(
+        self, data: bytes, on_message: Callable[[Message], None], on_error: Callable[[SipError], None]
+    ) -> int:
+        """Appends bytes, passes complete messages and errors up to a fatal one on, and returns their number."""
         self.feed(data)
         count = 0
-        for one in self.messages():
+        for message in self.messages():
             count += 1
-            if isinstance(one, SipError):
-                if one.fatal:
+            if isinstance(message, SipError):
+                if message.fatal:
                     self.unparsed = bytes(self.data)
                     self.data.clear()
-                bad(one)
-                if one.fatal:
+                on_error(message)
+                if message.fatal:
                     break
             else:
-                good(one)
+                on_message(message)
         return count
 
     def messages(self) -> Iterator[Message | SipError]:
-        """What is whole by now; a malformed message comes as its error."""
+        """Yields the messages that are complete, and a SipError for each malformed one."""
         while True:
-            while self.data.startswith(b"\r\n"):  # keep-alive between messages, RFC 5626
+            while self.data.startswith(b"\r\n"):  # keep-alive (RFC 5626)
                 del self.data[:2]
             end = self.data.find(b"\r\n\r\n")
             if end < 0:
@@ -290,9 +289,9 @@
             if len(self.data) < size:
                 return
             message.body = bytes(self.data[end + 4 : size])
-            if self.check_bodies and message.body and torn(message.body, bytes(self.data[size : size + 16])):
+            if self.check_bodies and message.body and is_corrupt(message.body, bytes(self.data[size : size + 16])):
                 del self.data[: end + 4]
-                yield SipError("a message begins inside another", message)
+                yield SipError("message starts within the body of another", message)
                 return
             del self.data[:size]
             message.headers = [pair for pair in message.headers if pair[0].lower() != "content-length"]
@@ -300,16 +299,16 @@
 
 
 def parse_datagram(data: bytes) -> Message:
-    """One message in one datagram; the body ends with Content-Length, or with the datagram."""
+    """Parses a datagram; the body ends after Content-Length bytes, or with the datagram."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise SipError("message too large", None, 513)
-    head, blank, body = data.lstrip(b"\r\n").partition(b"\r\n\r\n")
-    if not blank:
-        raise SipError("no end of headers")
+    head, separator, body = data.lstrip(b"\r\n").partition(b"\r\n\r\n")
+    if not separator:
+        raise SipError("headers not terminated")
     message = parse_head(head)
     length = content_length(message)
     if length is not None and length > len(body):
-        raise SipError("body cut short", message, fatal=False)
+        raise SipError("body shorter than Content-Length", message, fatal=False)
     message.body = body if length is None else body[:length]
     message.headers = [pair for pair in message.headers if pair[0].lower() != "content-length"]
     return message
--- a/seamlb/protocol/transaction.py
+++ b/seamlb/protocol/transaction.py
@@ -1,7 +1,7 @@
-"""SIP transactions (RFC 3261 section 17, RFC 6026) as state machines; the clock is passed in, in seconds.
+"""State machines of SIP transactions (RFC 3261 section 17, RFC 6026); the caller passes the time in seconds.
 
-Every input returns the effects that the owner carries out in order: what to send, what to deliver to the
-transaction user, and what went wrong. `due` is when `poll` wants to be called next.
+Each input returns the effects that the caller must apply in order: messages to send, messages to deliver to the
+transaction user (TU), and failures. `due` is the time of the next call of `poll`.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 from seamlb.protocol.sip import Message, parameter
 
-T1, T2, T4 = 0.5, 4.0, 5.0
-MAGIC_COOKIE = "z9hG4bK"
+T1, T2, T4 = 0.5, 4.0, 5.0  # seconds: round-trip estimate, longest interval, lifetime of a message (17.1.1.1)
+MAGIC_COOKIE = "z9hG4bK"  # start of a branch that is unique to its transaction (8.1.1.7)
 NEVER = float("inf")
 
 
 class State(Enum):
-    """State of a SIP transaction (RFC 3261, 17)."""
+    """States of a SIP transaction (RFC 3261, 17)."""
 
-    TRYING = auto()  # CALLING for INVITE clients
+    TRYING = auto()  # called Calling for INVITE client transactions
     PROCEEDING = auto()
     COMPLETED = auto()
     CONFIRMED = auto()
@@ -29,21 +29,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Put this message on the wire."""
+    """Send this message to the peer."""
 
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
 class Deliver:
-    """Give this message to the transaction user."""
+    """Deliver this message to the transaction user."""
 
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """No answer, or no ACK, in time (`timeout`), or the transport broke."""
+    """No response or ACK arrived in time (`timeout`), or the transport failed."""
 
     timeout: bool
 
@@ -53,30 +53,30 @@
 
 
 def server_key(request: Message) -> Key:
-    """What tells requests of one transaction (17.2.3); an ACK has the key of its INVITE."""
+    """Returns the key that matches a request to its transaction (17.2.3); an ACK has the key of its INVITE."""
     via = (request.get_all("via") or [""])[0]
     method = "INVITE" if request.method == "ACK" else request.method
     branch = parameter(via, "branch")
     if branch.startswith(MAGIC_COOKIE):
         return branch.lower(), sent_by(via).lower(), method
-    # A caller of RFC 2543: the branch tells nothing.
+    # An RFC 2543 client: the branch does not identify the transaction.
     from_tag = parameter(request.get("from"), "tag")
     return "2543", request.uri, from_tag, request.get("call-id"), str(request.cseq()[0]), via, method
 
 
 def client_key(message: Message) -> Key:
-    """What tells a response's transaction (17.1.3)."""
+    """Returns the key that matches a response to its transaction (17.1.3)."""
     via = (message.get_all("via") or [""])[0]
     return parameter(via, "branch").lower(), message.cseq()[1]
 
 
 def sent_by(via: str) -> str:
-    """host[:port] of a Via."""
+    """Returns the sent-by part of a Via header: host[:port]."""
     return via.partition(";")[0].strip().rpartition(" ")[2]
 
 
 class Transaction:
-    """What all four kinds share: a state, and timers by name."""
+    """Base of the four transaction types: the state, and the expiry times of the timers by name."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
         self.request = request
@@ -86,67 +86,67 @@
 
     @property
     def terminated(self) -> bool:
-        """Has it ended?"""
+        """Whether the transaction has ended."""
         return self.state is State.TERMINATED
 
     @property
     def due(self) -> float:
-        """When the next timer ends."""
+        """The time at which the next timer fires."""
         return min(self.timers.values(), default=NEVER)
 
     def poll(self, now: float) -> Effects:
-        """Fire the timers that are due."""
+        """Fires the timers that are due."""
         effects: Effects = []
-        for name in sorted(name for name, at in self.timers.items() if at <= now):
+        for name in sorted(name for name, expiry in self.timers.items() if expiry <= now):
             if self.timers.pop(name, None) is not None:
                 effects += self.timer_fired(name, now)
         return effects
 
     def timer_fired(self, name: str, now: float) -> Effects:
-        """A timer has ended."""
+        """Handles the expiry of a timer."""
         raise NotImplementedError
 
     def fail(self) -> Effects:
-        """The transport could not send (17.1.4, 17.2.4)."""
+        """Ends the transaction after a transport error (17.1.4, 17.2.4)."""
         if self.terminated:
             return []
-        self._end()
+        self._terminate()
         return [Failed(timeout=False)]
 
-    def _end(self) -> None:
+    def _terminate(self) -> None:
         self.state = State.TERMINATED
         self.timers.clear()
 
-    def _linger(self, name: str, now: float, span: float) -> None:
-        """Absorb retransmissions for a while: on an unreliable transport only."""
-        if span <= 0.0:
-            self._end()
+    def _absorb(self, name: str, now: float, duration: float) -> None:
+        """Absorbs retransmissions for `duration` seconds; 0, as on a reliable transport, ends the transaction."""
+        if duration <= 0.0:
+            self._terminate()
         else:
-            self.timers = {name: now + span}
+            self.timers = {name: now + duration}
 
 
 class InviteClient(Transaction):
-    """17.1.1: timers A, B and D; RFC 6026: M."""
+    """INVITE client transaction (17.1.1) with timers A, B and D, and M of RFC 6026."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
         super().__init__(request, reliable)
-        self.wait = T1
+        self.interval = T1
         self.ack: Message | None = None
 
     def start(self, now: float) -> Effects:
-        """Send the request and start timers A and B."""
+        """Sends the request and starts timers A and B."""
         self.timers["B"] = now + 64 * T1
         if not self.reliable:
-            self.timers["A"] = now + self.wait
+            self.timers["A"] = now + self.interval
         return [Send(self.request)]
 
     def cancel_sent(self, now: float) -> None:
-        """A CANCEL went out: without a final answer this ends by itself (9.1)."""
+        """Restarts timer B after a CANCEL, so that the transaction ends without a final response too (9.1)."""
         if self.state in (State.TRYING, State.PROCEEDING):
             self.timers["B"] = now + 64 * T1
 
     def receive(self, message: Message, now: float) -> Effects:
-        """Take a response."""
+        """Handles a response."""
         if self.terminated:
             return []
         if message.status < 200:
@@ -158,26 +158,26 @@
             if self.state in (State.TRYING, State.PROCEEDING):
                 self.state = State.ACCEPTED
                 self.timers = {"M": now + 64 * T1}
-            # Each 2xx goes up: the user sends its ACK again.
+            # Every copy of the 2xx is delivered, because the transaction user must repeat its ACK.
             return [Deliver(message)] if self.state is State.ACCEPTED else []
         if self.state in (State.TRYING, State.PROCEEDING):
             self.state = State.COMPLETED
             self.ack = self._ack(message)
-            self._linger("D", now, 0.0 if self.reliable else 32.0)
+            self._absorb("D", now, 0.0 if self.reliable else 32.0)
             return [Send(self.ack), Deliver(message)]
         return [Send(self.ack)] if self.state is State.COMPLETED and self.ack else []
 
     def timer_fired(self, name: str, now: float) -> Effects:
-        """Timer A repeats the request; all others end the transaction."""
+        """Timer A retransmits the request; all others end the transaction."""
         if name == "A":
-            self.wait *= 2
-            self.timers["A"] = now + self.wait
+            self.interval *= 2
+            self.timers["A"] = now + self.interval
             return [Send(self.request)]
-        self._end()
+        self._terminate()
         return [Failed(timeout=True)] if name == "B" else []
 
     def _ack(self, answer: Message) -> Message:
-        """17.1.1.3: the ACK of a refusal is part of the transaction."""
+        """Builds the ACK of a 3xx to 6xx response, which belongs to the transaction (17.1.1.3)."""
         headers = [("Via", self.request.get_all("via")[0])]
         copied = ("route", "max-forwards", "from", "call-id")
         headers += [(name, value) for name, value in self.request.headers if name.lower() in copied]
@@ -186,53 +186,53 @@
 
 
 class NonInviteClient(Transaction):
-    """17.1.2: timers E, F and K."""
+    """Client transaction of other requests (17.1.2) with timers E, F and K."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
         super().__init__(request, reliable)
-        self.wait = T1
+        self.interval = T1
 
     def start(self, now: float) -> Effects:
-        """Send the request and start timers E and F."""
+        """Sends the request and starts timers E and F."""
         self.timers["F"] = now + 64 * T1
         if not self.reliable:
-            self.timers["E"] = now + self.wait
+            self.timers["E"] = now + self.interval
         return [Send(self.request)]
 
     def receive(self, message: Message, now: float) -> Effects:
-        """Take a response."""
+        """Handles a response."""
         if self.state not in (State.TRYING, State.PROCEEDING):
             return []
         if message.status < 200:
             self.state = State.PROCEEDING
         else:
             self.state = State.COMPLETED
-            self._linger("K", now, 0.0 if self.reliable else T4)
+            self._absorb("K", now, 0.0 if self.reliable else T4)
         return [Deliver(message)]
 
     def timer_fired(self, name: str, now: float) -> Effects:
-        """Timer E repeats the request; all others end the transaction."""
+        """Timer E retransmits the request; all others end the transaction."""
         if name == "E":
-            self.wait = T2 if self.state is State.PROCEEDING else min(2 * self.wait, T2)
-            self.timers["E"] = now + self.wait
+            self.interval = T2 if self.state is State.PROCEEDING else min(2 * self.interval, T2)
+            self.timers["E"] = now + self.interval
             return [Send(self.request)]
-        self._end()
+        self._terminate()
         return [Failed(timeout=True)] if name == "F" else []
 
 
 class InviteServer(Transaction):
-    """17.2.1: timers G, H and I; RFC 6026: L."""
+    """INVITE server transaction (17.2.1) with timers G, H and I, and L of RFC 6026."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
         super().__init__(request, reliable)
         self.state = State.PROCEEDING
-        self.wait = T1
-        self.last: Message | None = None
+        self.interval = T1
+        self.last_response: Message | None = None
 
     def respond(self, message: Message, now: float) -> Effects:
-        """Answer; after a final answer only further copies of a 2xx get through."""
+        """Sends a response; after a final one only retransmissions of a 2xx are sent."""
         if self.state is State.PROCEEDING:
-            self.last = message
+            self.last_response = message
             if 200 <= message.status < 300:
                 self.state = State.ACCEPTED
                 self.timers = {"L": now + 64 * T1}
@@ -240,55 +240,55 @@
                 self.state = State.COMPLETED
                 self.timers = {"H": now + 64 * T1}
                 if not self.reliable:
-                    self.timers["G"] = now + self.wait
+                    self.timers["G"] = now + self.interval
             return [Send(message)]
         return [Send(message)] if self.state is State.ACCEPTED and 200 <= message.status < 300 else []
 
     def receive(self, message: Message, now: float) -> Effects:
-        """The INVITE again, or the ACK of a refusal; neither reaches the user a second time."""
+        """Handles a retransmitted INVITE or an ACK; of these, only the ACK of a 2xx is delivered."""
         if message.method == "ACK":
             if self.state is State.COMPLETED:
                 self.state = State.CONFIRMED
-                self._linger("I", now, 0.0 if self.reliable else T4)
+                self._absorb("I", now, 0.0 if self.reliable else T4)
             return [Deliver(message)] if self.state is State.ACCEPTED else []
-        if self.state in (State.PROCEEDING, State.COMPLETED) and self.last:
-            return [Send(self.last)]
+        if self.state in (State.PROCEEDING, State.COMPLETED) and self.last_response:
+            return [Send(self.last_response)]
         return []
 
     def timer_fired(self, name: str, now: float) -> Effects:
-        """Timer G repeats the response; all others end the transaction."""
-        if name == "G" and self.last:
-            self.wait = min(2 * self.wait, T2)
-            self.timers["G"] = now + self.wait
-            return [Send(self.last)]
-        self._end()
+        """Timer G retransmits the response; all others end the transaction."""
+        if name == "G" and self.last_response:
+            self.interval = min(2 * self.interval, T2)
+            self.timers["G"] = now + self.interval
+            return [Send(self.last_response)]
+        self._terminate()
         return [Failed(timeout=True)] if name == "H" else []
 
 
 class NonInviteServer(Transaction):
-    """17.2.2: timer J."""
+    """Server transaction of other requests (17.2.2) with timer J."""
 
     def __init__(self, request: Message, reliable: bool) -> None:
         super().__init__(request, reliable)
-        self.last: Message | None = None
+        self.last_response: Message | None = None
 
     def respond(self, message: Message, now: float) -> Effects:
-        """Send a response."""
+        """Sends a response."""
         if self.state not in (State.TRYING, State.PROCEEDING):
             return []
-        self.last = message
+        self.last_response = message
         if message.status < 200:
             self.state = State.PROCEEDING
         else:
             self.state = State.COMPLETED
-            self._linger("J", now, 0.0 if self.reliable else 64 * T1)
+            self._absorb("J", now, 0.0 if self.reliable else 64 * T1)
         return [Send(message)]
 
     def receive(self, message: Message, now: float) -> Effects:
-        """Take a repeated request: the last response is sent again."""
-        return [Send(self.last)] if self.last else []
+        """Answers a retransmitted request with the last response."""
+        return [Send(self.last_response)] if self.last_response else []
 
     def timer_fired(self, name: str, now: float) -> Effects:
-        """Timer J ends the transaction."""
-        self._end()
+        """Ends the transaction on timer J."""
+        self._terminate()
         return []
