--- a/seamlb/sip/__init__.py
+++ b/seamlb/sip/__init__.py
@@ -1,1 +1,1 @@
-"""SIP user agent parts shared by the sip front and the sip desk client: transports bound to transactions."""
+"""SIP user agent code shared by the SIP front and the SIP desk client: transactions over UDP and TCP."""
--- a/seamlb/sip/endpoint.py
+++ b/seamlb/sip/endpoint.py
@@ -1,4 +1,4 @@
-"""A SIP endpoint: UDP and TCP transports under one table of transactions (RFC 3261, 17 and 18)."""
+"""A SIP endpoint: UDP and TCP transports and the transactions on them (RFC 3261, sections 17 and 18)."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
     server_key,
 )
 
-CONNECT_TIMEOUT = 0.5
-IDLE = 600.0  # seconds without a byte after which a TCP connection is closed
-MAX_TRANSACTIONS = 4096  # each is held for up to 32 s; beyond that requests are refused
+CONNECT_TIMEOUT_S = 0.5
+IDLE_TIMEOUT_S = 600.0  # without received data, then a TCP connection is closed
+MAX_TRANSACTIONS = 4096  # incoming; each is kept for up to 32 s, and further requests are answered with 503
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class Flow:
-    """Where a request came from, and so where its answers go."""
+    """The transport, address and connection that a request came from, to which its responses are sent."""
 
     transport: str
     source: Address
@@ -50,50 +50,50 @@
 
     @property
     def reliable(self) -> bool:
-        """Does the transport repeat what is lost?"""
+        """Whether the transport retransmits lost data."""
         return self.transport == "TCP"
 
 
 @dataclass(slots=True)
 class Target:
-    """Where a request of ours goes."""
+    """The transport and address that a request of ours is sent to."""
 
     transport: str
     address: Address
 
 
-Server = InviteServer | NonInviteServer
-Client = InviteClient | NonInviteClient
+ServerTransaction = InviteServer | NonInviteServer
+ClientTransaction = InviteClient | NonInviteClient
 
 
 @dataclass(slots=True, eq=False)
 class TransactionEntry:
-    """A transaction, its way to the wire, and its timer."""
+    """A transaction with its callbacks, its timer and the TCP connection that carries it."""
 
     key: Key
-    machine: Server | Client
+    machine: ServerTransaction | ClientTransaction
     send: Callable[[Message], None]
-    deliver: Callable[[Message], None]
+    on_message: Callable[[Message], None]
     on_failure: Callable[[str], None]
     timer: asyncio.TimerHandle | None = None
     connection: Connection | None = None
 
 
 @dataclass(slots=True)
-class Route:
-    """The TCP connection to one address, or the messages that wait for it."""
+class TcpRoute:
+    """The TCP connection to an address, or the messages that wait for it to be established."""
 
     connection: Connection | None = None
     waiting: list[tuple[bytes, Callable[[str], None], Callable[[Connection], None]]] = field(default_factory=list)
 
 
 def uri_target(uri: str, default_transport: str) -> Target:
-    """Where a sip: URI points; ValueError if it holds no IP address (a name would need DNS, which may block)."""
+    """Returns the target of a SIP URI; ValueError for a host name, as a DNS query could block the event loop."""
     rest = uri.partition(":")[2].rpartition("@")[2]
     host, *params = rest.split(";")
     transport = next((p[10:].upper() for p in params if p.lower().startswith("transport=")), default_transport)
     if transport not in ("UDP", "TCP"):
-        raise ValueError(f"transport {transport!r}")
+        raise ValueError(f"unsupported transport {transport!r}")
     host = host.partition("?")[0]
     address = split_address(host if ":" in host.rpartition("]")[2] else f"{host}:5060")
     ip_address(address[0])
@@ -101,16 +101,16 @@
 
 
 class SipEndpoint:
-    """Receives requests for `on_request`, ACKs of answers for `on_ack`; sends requests for anyone."""
+    """Sends requests, and passes received requests to `on_request` and the ACKs of 2xx responses to `on_ack`."""
 
-    def __init__(self, kind: str, limit: int = 256) -> None:
+    def __init__(self, kind: str, max_connections: int = 256) -> None:
         self.kind = kind
-        self.limit = limit
+        self.max_connections = max_connections
         self.on_request: Callable[[Message, TransactionEntry, Flow], None] | None = None
         self.on_ack: Callable[[Message], None] | None = None
         self.incoming: dict[Key, TransactionEntry] = {}
         self.outgoing: dict[Key, TransactionEntry] = {}
-        self.routes: dict[Address, Route] = {}
+        self.tcp_routes: dict[Address, TcpRoute] = {}
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.udp: DatagramEndpoint | None = None
@@ -119,23 +119,23 @@
         self.closing = False
 
     async def listen(self, udp: str = "", tcp: str = "") -> None:
-        """Bind what is named; port 0 takes a free one."""
+        """Binds the addresses that are given; port 0 selects a free port."""
         if udp:
-            self.udp = await DatagramEndpoint.bind(udp, self.kind, self._datagram)
+            self.udp = await DatagramEndpoint.bind(udp, self.kind, self._datagram_received)
             self.addresses["UDP"] = "{}:{}".format(*self.udp.address)
         if tcp:
-            self.tcp = Listener(self.kind, self.limit, self._serve)
+            self.tcp = Listener(self.kind, self.max_connections, self._serve)
             self.tcp.bind_and_listen(tcp)
             self.addresses["TCP"] = f"{split_address(tcp)[0]}:{self.tcp.port}"
-        self._spawn(self._sweep())
+        self._start_task(self._close_idle_connections())
 
     def stop_listening(self) -> None:
-        """Accept no more connections."""
+        """Stops accepting TCP connections."""
         if self.tcp:
             self.tcp.stop()
 
     def close(self) -> None:
-        """Close all sockets."""
+        """Cancels timers and tasks, and closes all sockets."""
         self.closing = True
         self.stop_listening()
         for entry in (*self.incoming.values(), *self.outgoing.values()):
@@ -149,11 +149,11 @@
             self.udp.close()
 
     def via(self, transport: str) -> str:
-        """A Via with a new branch for a request of ours."""
+        """Builds a Via header with a new branch for one of our requests."""
         return f"SIP/2.0/{transport} {self.addresses[transport]};branch={MAGIC_COOKIE}{secrets.token_hex(8)};rport"
 
     def contact(self, transport: str) -> str:
-        """Our address for a Contact header."""
+        """Builds the value of our Contact header."""
         return f"<sip:seamlb@{self.addresses[transport]};transport={transport.lower()}>"
 
     # -- transactions -------------------------------------------------------------------------
@@ -162,85 +162,85 @@
         self,
         message: Message,
         target: Target,
-        deliver: Callable[[Message], None],
-        failed: Callable[[str], None],
-        out: Callable[[], None] = lambda: None,
+        on_response: Callable[[Message], None],
+        on_failure: Callable[[str], None],
+        on_sent: Callable[[], None] = lambda: None,
     ) -> TransactionEntry:
-        """Start a client transaction; `failed` is told `timeout`, `connect` or `lost`, `out` that it has left."""
+        """Starts a client transaction; `on_failure` gets `timeout`, `connect` or `lost`, `on_sent` runs once sent."""
         reliable = target.transport == "TCP"
         machine = (InviteClient if message.method == "INVITE" else NonInviteClient)(message, reliable)
-        entry = TransactionEntry(client_key(message), machine, lambda one: None, deliver, failed)
+        entry = TransactionEntry(client_key(message), machine, lambda unsent: None, on_response, on_failure)
 
-        def broken(how: str) -> None:
+        def on_error(cause: str) -> None:
             if machine.fail():
-                self._settle(entry)
-                failed(how)
+                self._update_timer(entry)
+                on_failure(cause)
 
-        def carried(connection: Connection) -> None:
-            if entry.connection is None:  # its ACK may go by it too
-                out()
+        def on_connection(connection: Connection) -> None:
+            if entry.connection is None:  # not for the ACK of a refusal
+                on_sent()
             entry.connection = connection
 
-        entry.send = lambda one: self.transmit(one, target, broken, carried)
+        entry.send = lambda outbound: self.transmit(outbound, target, on_error, on_connection)
         self.outgoing[entry.key] = entry
-        self._carry(entry, machine.start(self._now()))
+        self._apply(entry, machine.start(self._now()))
         if not reliable:
-            out()
+            on_sent()
         return entry
 
     def respond(self, entry: TransactionEntry, message: Message) -> None:
-        """Answer a request by its transaction."""
+        """Sends a response in the transaction of its request."""
         if isinstance(entry.machine, (InviteServer, NonInviteServer)):
-            self._carry(entry, entry.machine.respond(message, self._now()))
+            self._apply(entry, entry.machine.respond(message, self._now()))
 
     def cancel_sent(self, entry: TransactionEntry) -> None:
-        """A CANCEL went out for this INVITE of ours."""
+        """Limits the wait for a final response after a CANCEL was sent for this INVITE."""
         if isinstance(entry.machine, InviteClient):
             entry.machine.cancel_sent(self._now())
-            self._settle(entry)
+            self._update_timer(entry)
 
     def transmit(
         self,
         message: Message,
         target: Target,
-        broken: Callable[[str], None] = lambda how: None,
-        carried: Callable[[Connection], None] = lambda connection: None,
+        on_error: Callable[[str], None] = lambda cause: None,
+        on_connection: Callable[[Connection], None] = lambda connection: None,
     ) -> None:
-        """Put a message on the wire, outside any transaction too (the ACK of an answer)."""
+        """Sends a message; also used outside of transactions, for the ACK of a 2xx response."""
         data = message.encode()
         if target.transport == "UDP":
             if self.udp:
                 self.udp.send(data, target.address)
             return
-        route = self.routes.setdefault(target.address, Route())
+        route = self.tcp_routes.setdefault(target.address, TcpRoute())
         if route.connection and route.connection.send(data):
-            carried(route.connection)
+            on_connection(route.connection)
             return
         route.connection = None
-        route.waiting.append((data, broken, carried))
+        route.waiting.append((data, on_error, on_connection))
         if len(route.waiting) == 1:
-            self._spawn(self._connect(target.address, route))
+            self._start_task(self._connect(target.address, route))
 
     def use_connection(self, address: Address, connection: Connection) -> None:
-        """Send what goes to an address by a connection that came from there."""
-        self.routes.setdefault(address, Route()).connection = connection
+        """Uses a connection that was accepted from an address for the messages to that address."""
+        self.tcp_routes.setdefault(address, TcpRoute()).connection = connection
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _carry(self, entry: TransactionEntry, effects: Effects) -> None:
+    def _apply(self, entry: TransactionEntry, effects: Effects) -> None:
         for effect in effects:
             match effect:
                 case Send(message):
                     entry.send(message)
                 case Deliver(message):
-                    entry.deliver(message)
+                    entry.on_message(message)
                 case Failed(timeout):
                     entry.on_failure("timeout" if timeout else "lost")
-        self._settle(entry)
+        self._update_timer(entry)
 
-    def _settle(self, entry: TransactionEntry) -> None:
-        """Set the timer to what the machine wants next, or drop the transaction."""
+    def _update_timer(self, entry: TransactionEntry) -> None:
+        """Schedules the next poll of the transaction, or removes it once it has ended."""
         if entry.timer:
             entry.timer.cancel()
             entry.timer = None
@@ -250,28 +250,28 @@
                 del table[entry.key]
         elif entry.machine.timers and not self.closing:
             loop = asyncio.get_running_loop()
-            entry.timer = loop.call_at(entry.machine.due, self._fire, entry)
+            entry.timer = loop.call_at(entry.machine.due, self._timer_fired, entry)
 
-    def _fire(self, entry: TransactionEntry) -> None:
+    def _timer_fired(self, entry: TransactionEntry) -> None:
         entry.timer = None
-        self._carry(entry, entry.machine.poll(self._now() + 0.001))
+        self._apply(entry, entry.machine.poll(self._now() + 0.001))
 
-    # -- what arrives -------------------------------------------------------------------------
+    # -- received messages --------------------------------------------------------------------
 
-    def _datagram(self, data: bytes, source: Address) -> None:
+    def _datagram_received(self, data: bytes, source: Address) -> None:
         if not data.strip(b"\r\n\0 "):
             return  # keep-alive
         flow = Flow("UDP", source)
         try:
-            self._message(parse_datagram(data), flow)
+            self._message_received(parse_datagram(data), flow)
         except SipError as error:
             self._malformed(error, flow)
 
     def _malformed(self, error: SipError, flow: Flow) -> None:
         log.event("malformed", kind=self.kind, peer="{}:{}".format(*flow.source), error=str(error))
         if request := error.request_to_answer():
-            mark_source(request, flow.source)
-            self._answer(response(request, error.status, tag=secrets.token_hex(4)), request, flow)
+            add_source_to_via(request, flow.source)
+            self._send_response(response(request, error.status, tag=secrets.token_hex(4)), request, flow)
 
     async def _serve(self, connection: Connection) -> None:
         host, port = split_address(connection.peer)
@@ -288,116 +288,116 @@
                 connection.lingering_close(CloseReason.MALFORMED)
 
         def received(data: bytes) -> None:
-            whole = framer.feed_and_dispatch(data, lambda message: self._message(message, flow), malformed)
-            connection.messages_read(whole, bool(framer.data))
-            if whole and self.tcp:
+            count = framer.feed_and_dispatch(data, lambda message: self._message_received(message, flow), malformed)
+            connection.messages_read(count, bool(framer.data))
+            if count and self.tcp:
                 self.tcp.mark_used(connection)
 
         try:
             await connection.run(received)
         finally:
             self.connections.discard(connection)
-            for address in [one for one, route in self.routes.items() if route.connection is connection]:
-                del self.routes[address]
+            for address in [peer for peer, route in self.tcp_routes.items() if route.connection is connection]:
+                del self.tcp_routes[address]
             if not self.closing:
-                self._lost(connection)
+                self._connection_lost(connection)
 
-    def _lost(self, connection: Connection) -> None:
-        """Requests of ours that wait for an answer on this connection get none (18.4)."""
+    def _connection_lost(self, connection: Connection) -> None:
+        """Fails our requests that wait for a response on this connection (18.4)."""
         for entry in list(self.outgoing.values()):
             if entry.connection is connection:
                 effects = entry.machine.fail() if entry.machine.state.name in ("TRYING", "PROCEEDING") else []
-                self._carry(entry, effects)
+                self._apply(entry, effects)
 
-    def _message(self, message: Message, flow: Flow) -> None:
+    def _message_received(self, message: Message, flow: Flow) -> None:
         if message.status:
             entry = self.outgoing.get(client_key(message))
             if entry and isinstance(entry.machine, (InviteClient, NonInviteClient)):
-                self._carry(entry, entry.machine.receive(message, self._now()))
+                self._apply(entry, entry.machine.receive(message, self._now()))
             return
         if not all(message.get(name) for name in ("via", "from", "to")):
             return self._malformed(SipError("Via, From or To missing", message), flow)
         key = server_key(message)
         entry = self.incoming.get(key)
         if entry and isinstance(entry.machine, (InviteServer, NonInviteServer)):
-            return self._carry(entry, entry.machine.receive(message, self._now()))
+            return self._apply(entry, entry.machine.receive(message, self._now()))
         if message.method == "ACK":
             if self.on_ack:
                 self.on_ack(message)
             return
-        mark_source(message, flow.source)
+        add_source_to_via(message, flow.source)
         if len(self.incoming) >= MAX_TRANSACTIONS or self.on_request is None:
-            return self._answer(response(message, 503, tag=secrets.token_hex(4)), message, flow)
+            return self._send_response(response(message, 503, tag=secrets.token_hex(4)), message, flow)
         machine = (InviteServer if message.method == "INVITE" else NonInviteServer)(message, flow.reliable)
         entry = TransactionEntry(
             key,
             machine,
-            lambda one: self._answer(one, message, flow, broken),
-            self.on_ack or (lambda one: None),
-            lambda how: log.event("no_ack", kind=self.kind, call=message.get("call-id"), how=how),
+            lambda outbound: self._send_response(outbound, message, flow, on_error),
+            self.on_ack or (lambda ack: None),
+            lambda cause: log.event("no_ack", kind=self.kind, call=message.get("call-id"), how=cause),
         )
 
-        def broken(how: str) -> None:
+        def on_error(cause: str) -> None:
             if machine.fail():
-                self._settle(entry)
-                entry.on_failure(how)
+                self._update_timer(entry)
+                entry.on_failure(cause)
 
         entry.connection = flow.connection
         self.incoming[key] = entry
         self.on_request(message, entry, flow)
 
-    def _answer(
-        self, answer: Message, request: Message, flow: Flow, broken: Callable[[str], None] = lambda how: None
+    def _send_response(
+        self, answer: Message, request: Message, flow: Flow, on_error: Callable[[str], None] = lambda cause: None
     ) -> None:
-        """Send a response where 18.2.2 has it go."""
+        """Sends a response as 18.2.2 requires."""
         if flow.connection and flow.connection.send(answer.encode()):
             return
         via = request.get_all("via")[0]
-        _, colon, port = sent_by(via).rpartition(":")
-        place = int(port) if colon and is_decimal(port) else 5060
+        _, colon, via_port = sent_by(via).rpartition(":")
+        port = int(via_port) if colon and is_decimal(via_port) else 5060
         rport = parameter(via, "rport")
         if flow.transport == "UDP" and is_decimal(rport):
-            place = int(rport)
-        # The connection is gone: the answer goes by a new one to where the caller listens.
-        self.transmit(answer, Target(flow.transport, (flow.source[0], min(place, 65535))), broken)
+            port = int(rport)
+        # On TCP, the request's connection has closed; a new one is opened to the port that the caller listens on.
+        self.transmit(answer, Target(flow.transport, (flow.source[0], min(port, 65535))), on_error)
 
-    # -- TCP connections of ours --------------------------------------------------------------
+    # -- outgoing TCP connections -------------------------------------------------------------
 
-    async def _connect(self, address: Address, route: Route) -> None:
+    async def _connect(self, address: Address, route: TcpRoute) -> None:
         try:
-            connection = await connect("{}:{}".format(*address), self.kind, CONNECT_TIMEOUT)
+            connection = await connect("{}:{}".format(*address), self.kind, CONNECT_TIMEOUT_S)
         except ConnectError:
             waiting, route.waiting = route.waiting, []
-            self.routes.pop(address, None)
-            for _, broken, _ in waiting:
-                broken("connect")
+            self.tcp_routes.pop(address, None)
+            for _, on_error, _ in waiting:
+                on_error("connect")
             return
         route.connection = connection
         waiting, route.waiting = route.waiting, []
-        for data, broken, carried in waiting:
+        for data, on_error, on_connection in waiting:
             if connection.send(data):
-                carried(connection)
+                on_connection(connection)
             else:
-                broken("lost")
+                on_error("lost")
         await self._serve(connection)
 
-    async def _sweep(self) -> None:
-        """Close TCP connections on which nothing has come for long."""
+    async def _close_idle_connections(self) -> None:
+        """Closes TCP connections that have received no data for `IDLE_TIMEOUT_S`."""
         while True:
-            await asyncio.sleep(IDLE / 10)
+            await asyncio.sleep(IDLE_TIMEOUT_S / 10)
             for connection in list(self.connections):
-                if self._now() - connection.last_read > IDLE:
+                if self._now() - connection.last_read > IDLE_TIMEOUT_S:
                     connection.close(CloseReason.IDLE)
 
-    def _spawn(self, coroutine: Any) -> None:
+    def _start_task(self, coroutine: Any) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
 
-def mark_source(request: Message, source: Address) -> None:
-    """Note in the top Via where a request really came from (18.2.1, RFC 3581)."""
-    for place, (name, value) in enumerate(request.headers):
+def add_source_to_via(request: Message, source: Address) -> None:
+    """Adds a request's source address to its top Via header as received and rport (18.2.1, RFC 3581)."""
+    for index, (name, value) in enumerate(request.headers):
         if name.lower() == "via":
             first, comma, rest = value.partition(",")
             parts = first.split(";")
@@ -407,5 +407,5 @@
                 parts.append(f"received={source[0]}")
             elif host != source[0]:
                 parts.append(f"received={source[0]}")
-            request.headers[place] = (name, ";".join(parts) + comma + rest)
+            request.headers[index] = (name, ";".join(parts) + comma + rest)
             return
--- a/seamlb/sip/settings.py
+++ b/seamlb/sip/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the sip front; apart from its code, which is loaded only where it is on."""
+"""Settings of the SIP front, separate from its code, which is loaded only if the front is enabled."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SipFrontConfig:
-    """Where the front listens, and the headers that describe a call with what stands in for them."""
+    """Listen addresses, and the headers that describe a call with the defaults for missing ones."""
 
     udp: str = ""
     tcp: str = ""
@@ -18,6 +18,6 @@
     figures_header: str = "X-Legs"
     default_class: str = ""
     default_tenant: str = ""
-    default_deadline_ms: float = 0.0  # 0: the class's own deadline
-    destinations: Mapping[str, int] = field(default_factory=dict)  # class: its first-choice pool
-    connections: int = 256
+    default_deadline_ms: float = 0.0  # 0: the deadline of the class
+    destinations: Mapping[str, int] = field(default_factory=dict)  # first-choice pool by class
+    connections: int = 256  # TCP
