--- a/tests/test_management_reading.py
+++ b/tests/test_management_reading.py
@@ -1,20 +1,20 @@
-"""What the management address makes of bytes."""
+"""Tests of the HTTP request parser of the management address."""
 
 import unittest
 
 from seamlb.protocol.http import HttpError, Request, RequestReader
 
 
-class Reading(unittest.TestCase):
-    def read(self, data: bytes) -> Request | None:
-        """One way for all cuts: byte by byte, and at once."""
-        reader, whole = RequestReader(), RequestReader().feed(data)
-        told = [found for at in range(len(data)) if (found := reader.feed(data[at : at + 1]))]
-        self.assertEqual(told[:1], [whole] if whole else [])
-        return whole
+class RequestReaderTest(unittest.TestCase):
+    def parse(self, data: bytes) -> Request | None:
+        """Parses the data at once and byte by byte; both must give the same request."""
+        reader, request = RequestReader(), RequestReader().feed(data)
+        requests = [parsed for at in range(len(data)) if (parsed := reader.feed(data[at : at + 1]))]
+        self.assertEqual(requests[:1], [request] if request else [])
+        return request
 
-    def test_requests(self) -> None:
-        for data, wanted in (
+    def test_valid_requests(self) -> None:
+        for data, expected in (
             (b"GET /a?b=1 HTTP/1.1\r\nHost: x\r\n\r\n", ("GET", "/a", b"")),
             (b"\r\nGET http://x:1/a/b HTTP/1.1\r\n\r\n", ("GET", "/a/b", b"")),
             (b"POST /a HTTP/1.0\r\nContent-Length: 3\r\n\r\nabc", ("POST", "/a", b"abc")),
@@ -23,15 +23,15 @@
                 ("POST", "/a", b"abc"),
             ),
         ):
-            found = self.read(data)
-            assert found
-            self.assertEqual((found.method, found.path, found.body), wanted)
+            request = self.parse(data)
+            assert request
+            self.assertEqual((request.method, request.path, request.body), expected)
 
-    def test_what_is_not_whole_is_waited_for(self) -> None:
+    def test_incomplete_requests_give_none(self) -> None:
         for data in (b"", b"GET / HTTP/1.1\r\nHost: x\r\n", b"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab"):
-            self.assertIsNone(self.read(data))
+            self.assertIsNone(self.parse(data))
 
-    def test_what_is_no_request_says_how_it_is_answered(self) -> None:
+    def test_invalid_requests_raise_an_error_with_the_response_status(self) -> None:
         for data, status in (
             (b"hello\r\n\r\n", 400),
             (b"GET / SIP/2.0\r\n\r\n", 400),
