--- a/seamlb/protocol/http.py
+++ b/seamlb/protocol/http.py
@@ -58,7 +58,7 @@
 def encode_response(
     status: int, body: bytes = b"", *extra: tuple[str, str], content_type: str = "application/json"
 ) -> bytes:
-    """Encodes a response that tells the client that the connection will be closed."""
+    """Encodes a response with `Connection: close`."""
     lines = [
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
         f"Content-Type: {content_type}",
--- a/seamlb/protocol/notices.py
+++ b/seamlb/protocol/notices.py
@@ -28,7 +28,7 @@
     """One event: the complete list or the changed entries."""
 
     event_number: int
-    list_revision: int  # revision of the list itself, the same at every board; 0 if missing
+    list_revision: int  # of the list itself, independent of the board that sends it; 0 if missing
     complete: bool
     members: tuple[Member, ...]
 
--- a/seamlb/protocol/sip.py
+++ b/seamlb/protocol/sip.py
@@ -24,7 +24,7 @@
     b"SUBSCRIBE",
     b"UPDATE",
 )
-MIN_START_BYTES = 3  # shorter ones may end a body by chance
+MIN_START_BYTES = 3  # shorter parts of a start may end a body by chance
 PARTIAL_STARTS = tuple(start[:size] for start in MESSAGE_STARTS for size in range(MIN_START_BYTES, len(start)))
 BYE_PATTERN = re.compile(rb"BYE sips?:\S+ SIP/2\.0\r\n((?:[A-Za-z-]+:[^\r\n]*\r\n)+)")
 COMPACT_HEADERS = {
--- a/seamlb/protocol/transaction.py
+++ b/seamlb/protocol/transaction.py
@@ -11,7 +11,7 @@
 
 from seamlb.protocol.sip import Message, parameter
 
-T1, T2, T4 = 0.5, 4.0, 5.0  # seconds: round-trip estimate, longest interval, lifetime of a message (17.1.1.1)
+T1, T2, T4 = 0.5, 4.0, 5.0  # seconds: RTT estimate, longest retransmission interval, message lifetime
 MAGIC_COOKIE = "z9hG4bK"  # start of a branch that is unique to its transaction (8.1.1.7)
 NEVER = float("inf")
 
@@ -141,7 +141,7 @@
         return [Send(self.request)]
 
     def cancel_sent(self, now: float) -> None:
-        """Restarts timer B after a CANCEL, so that the transaction ends without a final response too (9.1)."""
+        """Starts timer B anew after a CANCEL: without a final response, it ends the transaction (9.1)."""
         if self.state in (State.TRYING, State.PROCEEDING):
             self.timers["B"] = now + 64 * T1
 
--- a/seamlb/sip/endpoint.py
+++ b/seamlb/sip/endpoint.py
@@ -34,7 +34,7 @@
 )
 
 CONNECT_TIMEOUT_S = 0.5
-IDLE_TIMEOUT_S = 600.0  # without received data, then a TCP connection is closed
+IDLE_TIMEOUT_S = 600.0  # TCP connections that receive no data for this long are closed
 MAX_TRANSACTIONS = 4096  # incoming; each is kept for up to 32 s, and further requests are answered with 503
 
 Address = tuple[str, int]
@@ -88,7 +88,7 @@
 
 
 def uri_target(uri: str, default_transport: str) -> Target:
-    """Returns the target of a SIP URI; ValueError for a host name, as a DNS query could block the event loop."""
+    """Returns the target of a SIP URI; ValueError for another transport, or a host name (DNS may block)."""
     rest = uri.partition(":")[2].rpartition("@")[2]
     host, *params = rest.split(";")
     transport = next((p[10:].upper() for p in params if p.lower().startswith("transport=")), default_transport)
