--- a/tests/test_agree_daemon.py
+++ b/tests/test_agree_daemon.py
@@ -185,4 +185,11 @@
         await site.propose("a0", open=50)
         await site.wait_for_all(2, "a4")
         self.assertEqual(await site.applied("a4"), (1, "in force"))
+
+        async def logged() -> bool:  # the status shows a version up to one step before the log does
+            lines = [line for name in ("a0", "a1", "a2", "a3") for line in site.lines(name, "agree_acts")]
+            in_force = any((line["charter"], line["stance"]) == (2, "in force") for line in lines)
+            return in_force and bool(site.lines("a4", "agree_acts"))
+
+        await site.wait_until(logged)
         self.assertGreater(site.audit(), 0.0)
