--- a/benchmarks/draws.py
+++ b/benchmarks/draws.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from seamlb.planning.draw import SPAN, StickyDraw
+from seamlb.planning.draw import HASH_RANGE, RendezvousHash
 
 NUMBERS = [b"%d" % n for n in range(50_000)]
 Pick = Callable[[bytes], str | None]
@@ -22,7 +22,7 @@
     """Plain: the hash as a point on the line of all weights, found by bisection."""
     names = sorted(weights)
     sums = list(itertools.accumulate(weights[name] for name in names))
-    return lambda number: names[bisect.bisect_right(sums, xxhash.xxh3_64_intdigest(number) / SPAN * sums[-1])]
+    return lambda number: names[bisect.bisect_right(sums, xxhash.xxh3_64_intdigest(number) / HASH_RANGE * sums[-1])]
 
 
 def alias(weights: dict[str, int]) -> Pick:
@@ -39,7 +39,7 @@
         (small if parts[more] < 1.0 else large).append(more)
 
     def pick(number: bytes) -> str:
-        at = xxhash.xxh3_64_intdigest(number) / SPAN * len(names)
+        at = xxhash.xxh3_64_intdigest(number) / HASH_RANGE * len(names)
         place = int(at)
         return names[place if at - place < parts[place] or other[place] == place else other[place]]
 
@@ -52,7 +52,7 @@
     lost = {name: weight for name, weight in before.items() if name != "desk-002"}
     shifted = before | {"desk-001": before["desk-001"] + 20, "desk-003": max(1, before["desk-003"] - 20)}
     rows = []
-    for label, make in (("sticky", lambda w: StickyDraw(w).pick), ("cumulative", cumulative), ("alias", alias)):
+    for label, make in (("sticky", lambda w: RendezvousHash(w).pick), ("cumulative", cumulative), ("alias", alias)):
         pick = make(before)
         began = time.perf_counter()
         first = [pick(number) for number in NUMBERS]
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -21,18 +21,18 @@
 def best_worth(made: Problem) -> int:
     """The best worth that any placement has, proven."""
     search, program = Search(made, INFINITE, lambda line: None), build(made, by_district=False)
-    return search.stage("worth", program, program.worth(), lambda placement: search.figures(placement).worth)
+    return search.solve_stage("worth", program, program.worth(), lambda placement: search.evaluate(placement).worth)
 
 
 def measure(size: tuple[int, int, int]) -> list[str]:
     made = problem(*size)
     plan = solve(made, 20.0)
     mender = Repair(made, plan)
-    whole = {desk: made.capacity(desk, given) for desk, given in made.given(plan.placement).items()}
+    whole = {desk: made.capacity(desk, given) for desk, given in made.classes_by_desk(plan.placement).items()}
     rows = []
     for lost in sorted(whole, key=lambda desk: (-whole[desk], desk))[:LOSSES]:
         began = time.perf_counter()
-        mended = mender.mend(whole | {lost: 0}).worth
+        mended = mender.reroute(whole | {lost: 0}).worth
         first = time.perf_counter() - began
         began = time.perf_counter()
         anew = best_worth(replace(made, desks=tuple(one for one in made.desks if one.name != lost)))
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from benchmarks.problems import problem
-from seamlb.planning.carry import carry
+from seamlb.planning.carry import optimal_flows
 from seamlb.planning.model import Objective, Plan
 from seamlb.planning.repair import Repair
 from seamlb.planning.solve import OutOfTimeError, solve
@@ -34,14 +34,14 @@
     if plan is None:  # any placement shows the repair's time
         rng = random.Random(2)
         placement = frozenset((d.name, k) for d in made.desks for k in rng.sample(sorted(d.skills), 2))
-        plan = Plan(placement, carry(made, placement, exact=False), Objective(0, 0, 0, 0), "stopped")
+        plan = Plan(placement, optimal_flows(made, placement, exact=False), Objective(0, 0, 0, 0), "stopped")
     mender = Repair(made, plan)
-    whole = {desk: made.capacity(desk, given) for desk, given in made.given(plan.placement).items()}
+    whole = {desk: made.capacity(desk, given) for desk, given in made.classes_by_desk(plan.placement).items()}
     times, kept = [], []
-    full = mender.mend(whole).worth
+    full = mender.reroute(whole).worth
     for lost in sorted(whole)[:20]:
         began = time.perf_counter()
-        kept.append(mender.mend(whole | {lost: 0}).worth / max(1, full))
+        kept.append(mender.reroute(whole | {lost: 0}).worth / max(1, full))
         times.append(time.perf_counter() - began)
     return {
         "desks": size[0],
--- a/benchmarks/problems.py
+++ b/benchmarks/problems.py
@@ -55,7 +55,7 @@
     lines = [f"grain_erlangs = {made.grain / 1000}"]
     for place in made.districts:
         later = made.districts[made.districts.index(place) + 1 :]
-        times = ", ".join(f"{other} = {made.times[place, other] / 1000}" for other in later)
+        times = ", ".join(f"{other} = {made.latencies_us[place, other] / 1000}" for other in later)
         lines += ["", "[[district]]", f'name = "{place}"', f"times_ms = {{ {times} }}"]
     for office in made.offices:
         lines += ["", "[[office]]", f'name = "{office.name}"', f"share = {office.share / 1000}"]
--- a/seamlb/emulator/lab.py
+++ b/seamlb/emulator/lab.py
@@ -15,7 +15,7 @@
 from seamlb.emulator.scenario import Policy, Result, Scenario, Trouble
 from seamlb.planning.files import load_problem
 from seamlb.planning.model import Plan, PlanningError, Problem
-from seamlb.planning.plan_files import plan_of
+from seamlb.planning.plan_files import read_plan_file
 from seamlb.plugins.checking import compile_text
 from seamlb.plugins.syntax import RuleError
 
@@ -77,7 +77,7 @@
         if strange:
             raise PlanningError(f"{path}: scenario {day.name}: unknown desk, office or district {strange[0]!r}")
     if told.plan:
-        plan = plan_of(path.parent / told.plan)[0]
+        plan = read_plan_file(path.parent / told.plan)[0]
     else:
         from seamlb.planning.solve import InfeasibleError, solve
 
--- a/seamlb/emulator/policies.py
+++ b/seamlb/emulator/policies.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from seamlb.emulator.scenario import Policy
-from seamlb.planning.carry import carry
-from seamlb.planning.files import split
+from seamlb.planning.carry import optimal_flows
+from seamlb.planning.files import apportion
 from seamlb.planning.model import Flows, Plan, Problem, objective
 
 WITH = "+rules"
@@ -31,7 +31,7 @@
 
 
 def _plan(problem: Problem, routes: Counter[tuple[str, str, str]], placement: frozenset[tuple[str, str]]) -> Plan:
-    flows = carry(problem, placement, exact=False)
+    flows = optimal_flows(problem, placement, exact=False)
     return Plan(placement, Flows(flows.supply, dict(routes)), objective(problem, placement, flows), "stopped")
 
 
@@ -49,7 +49,7 @@
     routes: Counter[tuple[str, str, str]] = Counter()
     for (kind, district), units in sorted(wanted(problem).items()):
         desks = {desk: 1 for desk, given in sorted(placement) if given == kind}
-        for desk, part in split(units, desks).items() if desks else ():
+        for desk, part in apportion(units, desks).items() if desks else ():
             routes[kind, district, desk] += part
     return _plan(problem, routes, placement)
 
@@ -61,7 +61,7 @@
     routes: Counter[tuple[str, str, str]] = Counter()
     order = sorted(wanted(problem).items(), key=lambda one: (-problem.kind[one[0][0]].value, one[0]))
     for (kind, district), units in order:
-        near = sorted(problem.desks, key=lambda d: (problem.time(district, d.district), -d.agents, d.name))
+        near = sorted(problem.desks, key=lambda d: (problem.latency_us(district, d.district), -d.agents, d.name))
         for desk in near:
             name, after = desk.name, given[desk.name] | {kind}
             if not problem.allowed(desk, kind) or (desk.most_classes and len(after) > desk.most_classes):
--- a/seamlb/emulator/run.py
+++ b/seamlb/emulator/run.py
@@ -20,8 +20,8 @@
 )
 from seamlb.emulator.standin import StandinDesk, stream
 from seamlb.emulator.world import REPORT_EVERY, EmulatedDesks, Person
-from seamlb.planning.draw import StickyDraw
-from seamlb.planning.follow import Followed, Guide
+from seamlb.planning.draw import RendezvousHash
+from seamlb.planning.follow import FollowedPlan, PlanFollower
 from seamlb.planning.model import PERMILLE, Problem, weights
 from seamlb.plugins.advisor import PluginAdvisor
 from seamlb.plugins.chain import Chain
@@ -64,13 +64,13 @@
         self.clients: dict[str, EmulatedDesks] = {}
         for place, district in enumerate(sorted(problem.districts)):
             self._agent(place, district)
-        self.usual = {pair: StickyDraw(units) for pair, units in weights(problem, policy.plan.flows).items()}
+        self.usual = {pair: RendezvousHash(units) for pair, units in weights(problem, policy.plan.flows).items()}
         spread: dict[str, Counter[str]] = defaultdict(Counter)
         for (kind, _), units in weights(problem, policy.plan.flows).items():
             spread[kind].update(units)
         for desk, kind in sorted(policy.plan.placement):
             spread[kind].setdefault(desk, 0)
-        self.anywhere = {kind: StickyDraw({d: u or 1 for d, u in one.items()}) for kind, one in spread.items()}
+        self.anywhere = {kind: RendezvousHash({d: u or 1 for d, u in one.items()}) for kind, one in spread.items()}
 
     def now(self) -> float:
         """The virtual time in milliseconds."""
@@ -86,8 +86,8 @@
         told = replace(told, classes=tuple(replace(c, pools=pools[c.name] or None) for c in told.classes))
         guide = None
         if policy.mended:
-            guide = Guide(told, tuple(o.name for o in offices(problem)))
-            guide.adopt(0.0, Followed(problem, policy.plan, district))
+            guide = PlanFollower(told, tuple(o.name for o in offices(problem)))
+            guide.set_plan(0.0, FollowedPlan(problem, policy.plan, district))
         advisor = self._advisor(told) if policy.rules else None
         agent = Agent(told, self.seed * 1000 + place, clock=self.now, steering=guide, advisor=advisor)
         client = EmulatedDesks(lambda desk: self.far(district, desk), self.holding)
@@ -116,7 +116,7 @@
 
     def far(self, district: str, desk: str) -> float:
         """Seconds that a message takes between a district and a server."""
-        return self.problem.time(district, self.problem.desk[desk].district) / 1e6 + 0.0005
+        return self.problem.latency_us(district, self.problem.desk[desk].district) / 1e6 + 0.0005
 
     def holding(self, request: Request, desk: str) -> float:
         """Mean seconds: longer where the class is the desk's second choice."""
--- a/seamlb/emulator/scenario.py
+++ b/seamlb/emulator/scenario.py
@@ -93,7 +93,7 @@
             ],
             "Limits": {"AttemptsCap": 6, "Cancel": True, "MaxRetryAfter": 2000, "RetryAfter": True},
             "Tenants": [{"Name": o.name, "AllowancePerS": o.share * total / PERMILLE} for o in offices(problem)],
-            "OverShareWorth": problem.over_worth / PERMILLE,
+            "OverShareWorth": problem.over_share_worth / PERMILLE,
             "MembershipMode": "pushed",
             "Report": {"Fields": FIELDS, "Source": "answers"},
         }
--- a/seamlb/extras.py
+++ b/seamlb/extras.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from seamlb.agree.table import AgreeSettings
-    from seamlb.planning.follow import Followed
+    from seamlb.planning.follow import FollowedPlan
     from seamlb.plugins.loading import PluginsTable
 
 T = TypeVar("T")
@@ -52,7 +52,7 @@
     desks: SipDesksConfig | None = None
     consul: ConsulConfig | None = None
     hook: str = ""
-    plan: Followed | None = None
+    plan: FollowedPlan | None = None
     plugins: PluginsTable | None = None
     members: MembersConfig | None = None
     member_keys: MemberKeys | None = None
@@ -151,21 +151,21 @@
     return table
 
 
-def _load_plan(plan: PlanConfig, folder: Path, config: Config) -> Followed:
+def _load_plan(plan: PlanConfig, folder: Path, config: Config) -> FollowedPlan:
     """Load a plan and check it against its problem and this configuration; ValueError if that fails."""
     # Imported only when enabled: a daemon without plug-ins has none of these libraries.
     from seamlb.planning.check import check
     from seamlb.planning.files import load_problem
-    from seamlb.planning.follow import Followed
+    from seamlb.planning.follow import FollowedPlan
     from seamlb.planning.model import PlanningError
-    from seamlb.planning.plan_files import digest, plan_of
+    from seamlb.planning.plan_files import problem_digest, read_plan_file
 
     try:
         problem = load_problem(folder / plan.problem)
-        found, table = plan_of(folder / plan.file)
+        found, table = read_plan_file(folder / plan.file)
     except PlanningError as error:
         raise ValueError(f"plan: {error}") from None
-    if table.problem != digest(problem):
+    if table.problem != problem_digest(problem):
         raise ValueError(f"plan.file: {plan.file} was made for another problem than {plan.problem}")
     # Moves are counted from the plan in force, which is not known here; everything else must hold.
     if violations := [line for line in check(problem, found) if not line.startswith("moves:")]:
@@ -184,7 +184,7 @@
         if expiry.tzinfo is None:
             raise ValueError(f"plan.until: {plan.until!r} has no time zone")
         until = expiry.timestamp() * 1000.0
-    return Followed(problem, found, plan.district or own_district, until)
+    return FollowedPlan(problem, found, plan.district or own_district, until)
 
 
 def _parse_table(raw: Mapping[str, Any], name: str, table_type: type[T]) -> T | None:
--- a/seamlb/planning/carry.py
+++ b/seamlb/planning/carry.py
@@ -10,7 +10,7 @@
 from seamlb.planning.model import PERMILLE, Cell, Flows, Placement, Problem
 
 
-def carry(problem: Problem, placement: Placement, exact: bool = True) -> Flows:
+def optimal_flows(problem: Problem, placement: Placement, exact: bool = True) -> Flows:
     """Worth first, then distance, then the canonical order: supply by class, district and office, then routes by
     desk, class and district, each greatest first.
 
@@ -19,7 +19,7 @@
     """
     net = Network()
     source, sink = net.node(), net.node()
-    far = max(problem.times.values(), default=0) + 1
+    far = max(problem.latencies_us.values(), default=0) + 1
     big = far * (problem.offered + 1)  # a unit of worth outweighs all distance
     huge = big * (max((k.value for k in problem.kinds), default=0) + 1) * (problem.offered + 1)  # a floor, all worth
     within, beyond = {}, {}
@@ -37,20 +37,20 @@
         value = problem.kind[kind].value
         supply[cell] = (
             net.arc(within[name], here, INFINITE, -big * value),
-            net.arc(beyond[name], here, INFINITE, -big * (value * problem.over_worth // PERMILLE)),
+            net.arc(beyond[name], here, INFINITE, -big * (value * problem.over_share_worth // PERMILLE)),
         )
         if (kind, district) not in wants:
             wants[kind, district] = net.node()
         net.arc(here, wants[kind, district], problem.demand[cell])
     routes = {}
-    for desk, kinds in problem.given(placement).items():
+    for desk, kinds in problem.classes_by_desk(placement).items():
         room = problem.capacity(desk, kinds)
         here = net.node()
         net.arc(here, sink, room)
         for kind in kinds:
             for district in sorted(problem.districts):
                 if (kind, district) in wants:
-                    distance = problem.time(district, problem.desk[desk].district)
+                    distance = problem.latency_us(district, problem.desk[desk].district)
                     routes[kind, district, desk] = net.arc(wants[kind, district], here, INFINITE, distance)
     potential = cheapest(net, source, sink)
     if exact:
--- a/seamlb/planning/check.py
+++ b/seamlb/planning/check.py
@@ -154,7 +154,7 @@
         if kind not in kinds:
             continue
         value = kinds[kind].worth * 1_000_000 // kinds[kind].holding_ms
-        worth += value * within + value * problem.over_worth // 1000 * beyond
+        worth += value * within + value * problem.over_share_worth // 1000 * beyond
         wants[kind, district] += within + beyond
         office[name] += within + beyond
         full[name] += within
@@ -175,7 +175,7 @@
         there[kind, district] += units
         load[desk] += units
         if desk in desks:
-            distance += units * problem.times[district, desks[desk].district]
+            distance += units * problem.latencies_us[district, desks[desk].district]
     for pair in sorted(wants.keys() | there.keys()):
         if wants[pair] != there[pair]:
             wrong.append(f"{'/'.join(pair)}: {wants[pair]} units are carried and {there[pair]} arrive at desks")
--- a/seamlb/planning/command.py
+++ b/seamlb/planning/command.py
@@ -17,8 +17,8 @@
 from seamlb.planning.check import check as check_plan
 from seamlb.planning.files import load_problem
 from seamlb.planning.model import Plan, PlanningError
-from seamlb.planning.plan_files import digest, plan_of, plan_text, save_plan
-from seamlb.planning.repair import losses
+from seamlb.planning.plan_files import plan_text, problem_digest, read_plan_file, save_plan
+from seamlb.planning.repair import worth_after_losses
 from seamlb.planning.words import conflict_lines, difference, show, slack, table
 
 REJECTED, BAD, INFEASIBLE, UNPROVEN = 1, 2, 3, 4
@@ -112,9 +112,9 @@
 def check(problem: str, path: str, current: str | None) -> None:
     """Recompute all that PLAN claims, exactly; exit code 1 and a line for each claim that does not hold."""
     loaded = load_problem(problem, current)
-    found, made = plan_of(path)
+    found, made = read_plan_file(path)
     wrong = check_plan(loaded, found)
-    if made.problem != digest(loaded):
+    if made.problem != problem_digest(loaded):
         wrong.insert(0, "it was made for another problem")
     if wrong:
         _end(REJECTED, *(f"{path}: {line}" for line in wrong))
@@ -128,7 +128,7 @@
 def show_plan(problem: str, path: str) -> None:
     """Show PLAN by desk, class and office."""
     loaded = load_problem(problem)
-    click.echo("\n".join(show(loaded, plan_of(path)[0])))
+    click.echo("\n".join(show(loaded, read_plan_file(path)[0])))
 
 
 @plan.command()
@@ -138,11 +138,12 @@
 def explain(problem: str, path: str) -> None:
     """What binds: the slack of every constraint, and what is kept when any one desk or district is lost."""
     loaded = load_problem(problem)
-    found = plan_of(path)[0]
+    found = read_plan_file(path)[0]
     rows = [(name, used, left, "binds" if not left else "") for name, used, left in slack(loaded, found)]
     click.echo("\n".join(table(["constraint", "used", "left", ""], rows)))
     lost = [
-        (name, worth, f"{100 * worth / max(1, found.objective.worth):.1f}") for name, worth in losses(loaded, found)
+        (name, worth, f"{100 * worth / max(1, found.objective.worth):.1f}")
+        for name, worth in worth_after_losses(loaded, found)
     ]
     click.echo("\n" + "\n".join(table(["lost", "worth kept", "%"], lost)))
 
@@ -155,5 +156,5 @@
 def diff(problem: str, old: str, new: str) -> None:
     """What changes from plan OLD to plan NEW."""
     loaded = load_problem(problem)
-    lines = difference(loaded, plan_of(old)[0], plan_of(new)[0])
+    lines = difference(loaded, read_plan_file(old)[0], read_plan_file(new)[0])
     click.echo("\n".join(lines or ["no difference"]))
--- a/seamlb/planning/draw.py
+++ b/seamlb/planning/draw.py
@@ -13,10 +13,10 @@
 
 import xxhash
 
-SPAN = float(1 << 64)
+HASH_RANGE = float(1 << 64)
 
 
-class StickyDraw:
+class RendezvousHash:
     """Desks by weight; weights are any positive numbers, those of nought are never drawn."""
 
     __slots__ = ("desks", "weights")
@@ -31,7 +31,7 @@
         """The desk of a number called; None without any desk."""
         best, least = None, math.inf
         for seed, scale, name in self.desks:
-            uniform = (xxhash.xxh3_64_intdigest(number, seed) + 0.5) / SPAN
+            uniform = (xxhash.xxh3_64_intdigest(number, seed) + 0.5) / HASH_RANGE
             score = -math.log(uniform) * scale
             if score < least:
                 best, least = name, score
--- a/seamlb/planning/files.py
+++ b/seamlb/planning/files.py
@@ -172,7 +172,7 @@
         if load.office is not None:
             demand[load.class_, load.district, load.office] += units
         else:
-            for office, part in split(units, {o.name: o.share for o in offices}).items():
+            for office, part in apportion(units, {o.name: o.share for o in offices}).items():
                 demand[load.class_, load.district, office] += part
     return Problem(
         tuple(districts),
@@ -191,7 +191,7 @@
     )
 
 
-def split(units: int, shares: dict[str, int]) -> dict[str, int]:
+def apportion(units: int, shares: dict[str, int]) -> dict[str, int]:
     """Whole units by shares: largest remainders get what is left, ties by name."""
     total = sum(shares.values())
     if not total:
--- a/seamlb/planning/follow.py
+++ b/seamlb/planning/follow.py
@@ -1,8 +1,8 @@
 """Follows a plan while the world differs from it: what the daemon's calls are steered by, without I/O or a clock.
 
-`Guide` is told of the list and of desks' reports, and is stepped now and then. It keeps, for each class, the shares
-by which a call's first choice is drawn. The decision module gets that choice, the classes' pools and the offices'
-allowances as its inputs and still decides every send and refusal. docs/operators/planning.md tells the rules:
+`PlanFollower` receives the desk list and desks' reports, and is stepped periodically. For each class it keeps the
+shares by which a call's first choice is selected. The decision module gets that choice, the classes' pools and the
+offices' allowances as its inputs and still decides every send and refusal. docs/operators/planning.md has the rules:
 
 - a desk that drains or is gone is not drawn from that moment on; what it had goes to the repair's desks at once
 - a desk that comes back is used after it stayed for a while, longer each time it flaps
@@ -20,21 +20,21 @@
 from typing import Protocol
 
 from seamlb import api
-from seamlb.planning.draw import StickyDraw
+from seamlb.planning.draw import RendezvousHash
 from seamlb.planning.model import Plan, Problem, allowances_per_s
-from seamlb.planning.repair import Cold, DeskState, Repair, permille, room, shares, towards
+from seamlb.planning.repair import DeskState, Repair, WarmUp, capacities, district_shares, permille, step_towards
 
-STEP_MS = 500.0  # between two steps of the shares
-STEP_MOST = 50  # permille of a class's calls that a step moves; what a lost desk had comes on top
-DEADBAND = 20  # permille: a goal nearer than this is left alone
+STEP_INTERVAL_MS = 500.0  # between two steps of the shares
+MAX_STEP_PERMILLE = 50  # permille of a class's calls that a step moves; what a lost desk had comes on top
+DEADBAND_PERMILLE = 20  # permille: a goal nearer than this is left alone
 SETTLE_MS = 2000.0  # a desk must have stayed so long before it is used again
-SETTLE_MOST_MS = 32_000.0
-CALM_MS = 60_000.0  # a desk that stayed so long has its flaps forgotten
-FULL_MS = 1000.0  # told full for so long counts
+MAX_SETTLE_MS = 32_000.0
+FLAP_RESET_MS = 60_000.0  # a desk that stayed so long has its flaps forgotten
+FULL_AFTER_MS = 1000.0  # told full for so long counts
 
 
 @dataclass(slots=True, frozen=True)
-class Followed:
+class FollowedPlan:
     """A plan to be followed, checked whole, and where this agent stands."""
 
     problem: Problem
@@ -43,7 +43,7 @@
     until_ms: float = math.inf  # Unix milliseconds
 
 
-class Listed(Protocol):
+class ListedDesk(Protocol):
     """A desk as the list has it."""
 
     @property
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class DeskRecord:
     """What is remembered of a desk, listed or not."""
 
     cell: int = -1
@@ -76,57 +76,57 @@
 
     def settle(self) -> float:
         """Milliseconds that it must be well before it counts again; longer with each relapse."""
-        return min(SETTLE_MOST_MS, SETTLE_MS * 2.0 ** max(0, self.flaps - 1)) if self.flaps else 0.0
+        return min(MAX_SETTLE_MS, SETTLE_MS * 2.0 ** max(0, self.flaps - 1)) if self.flaps else 0.0
 
 
 @dataclass(slots=True)
-class Steering:
+class ClassShares:
     """Shares of one class: in use, aimed at, and the draw of those in use."""
 
     now: dict[str, int] = field(default_factory=dict)
     goal: dict[str, int] = field(default_factory=dict)
-    draw: StickyDraw = field(default_factory=lambda: StickyDraw({}))
+    draw: RendezvousHash = field(default_factory=lambda: RendezvousHash({}))
 
     def use(self, shares: dict[str, int]) -> None:
         """Draw by these shares from now on."""
         if shares != self.now:
-            self.now, self.draw = shares, StickyDraw(shares)
+            self.now, self.draw = shares, RendezvousHash(shares)
 
 
-class Guide:
+class PlanFollower:
     """Steers first choices by a plan; every method takes the clock time in milliseconds first."""
 
     def __init__(self, settings: api.Settings, offices: tuple[str, ...]) -> None:
         self.settings = settings  # the daemon's own, before any plan
         self.offices = offices
         self.classes = {kind.name: kind for kind in settings.classes}
-        self.cold = Cold(settings.contract.start_capacity, max(1.0, settings.contract.cold))
-        self.followed: Followed | None = None
+        self.cold = WarmUp(settings.contract.start_capacity, max(1.0, settings.contract.cold))
+        self.followed: FollowedPlan | None = None
         self.mender: Repair | None = None
-        self.desks: dict[str, Seen] = {}
-        self.steering: dict[str, Steering] = {}
+        self.desks: dict[str, DeskRecord] = {}
+        self.steering: dict[str, ClassShares] = {}
         self.stepped = -math.inf
         self.pending_events: list[tuple[str, dict[str, object]]] = []  # log lines: event and facts
         self.told: set[tuple[str, str]] = set()  # what was logged already
-        self.others: dict[str, StickyDraw] = {}  # draws for classes that the plan can't place now
+        self.others: dict[str, RendezvousHash] = {}  # draws for classes that the plan can't place now
 
     # -- the plan -----------------------------------------------------------------------------
 
-    def adopt(self, now: float, followed: Followed | None) -> None:
+    def set_plan(self, now: float, followed: FollowedPlan | None) -> None:
         """Follow another plan from now on, or none; the shares in use go over to it whole."""
         self.followed = followed
         self.mender = Repair(followed.problem, followed.plan) if followed else None
         self.told.clear()
         self.steering = {}
         if followed:
-            self.steering = {kind.name: Steering() for kind in followed.problem.kinds}
+            self.steering = {kind.name: ClassShares() for kind in followed.problem.kinds}
             self._aim(now)
             for one in self.steering.values():
                 one.use(dict(one.goal))
             self._missing()
         self.others.clear()
 
-    def active(self, now: float) -> Followed | None:
+    def active(self, now: float) -> FollowedPlan | None:
         """The plan that steers now; one past its end is told of once."""
         if self.followed and now >= self.followed.until_ms:
             self._tell("plan_stale", "")
@@ -148,18 +148,18 @@
 
     # -- what is told ---------------------------------------------------------------------------
 
-    def update_desks(self, now: float, desks: Iterable[Listed]) -> None:
+    def update_desks(self, now: float, desks: Iterable[ListedDesk]) -> None:
         """The whole list as it is now."""
         present = {one.ident: one for one in desks}
         changed = False
         for name, seen in self.desks.items():
             if seen.ready and (name not in present or present[name].availability != api.Availability.READY):
                 seen.ready = False
-                seen.flaps = seen.flaps + 1 if now - seen.came < CALM_MS else 1
+                seen.flaps = seen.flaps + 1 if now - seen.came < FLAP_RESET_MS else 1
                 changed = True
         for name, one in present.items():
             fresh = name not in self.desks
-            seen = self.desks.setdefault(name, Seen())
+            seen = self.desks.setdefault(name, DeskRecord())
             changed = changed or seen.cell != one.cell or seen.since != one.since_ms
             seen.cell, seen.since = one.cell, one.since_ms
             if one.availability == api.Availability.READY and not seen.ready:
@@ -185,11 +185,11 @@
             seen.idle_zero = now
 
     def step(self, now: float) -> None:
-        """Move the shares in use a bounded step; call it at least every STEP_MS."""
-        if self.active(now) is None or now - self.stepped < STEP_MS:
+        """Move the shares in use a bounded step; call it at least every STEP_INTERVAL_MS."""
+        if self.active(now) is None or now - self.stepped < STEP_INTERVAL_MS:
             return
         self._aim(now)
-        self._step(now, STEP_MOST)
+        self._step(now, MAX_STEP_PERMILLE)
         self.stepped = now
 
     # -- shares ---------------------------------------------------------------------------------
@@ -200,23 +200,23 @@
             return DeskState(listed=False)
         if now - seen.came < seen.settle():
             return DeskState(listed=False)
-        if now - seen.came >= CALM_MS:
+        if now - seen.came >= FLAP_RESET_MS:
             seen.flaps = 0
         cold = now - seen.since if seen.since > 0 else -1.0
-        return DeskState(cold_ms=cold, full=now - seen.idle_zero >= FULL_MS)
+        return DeskState(cold_ms=cold, full=now - seen.idle_zero >= FULL_AFTER_MS)
 
     def _aim(self, now: float) -> None:
         """New goals from the repair."""
         followed = self.followed
         assert followed is not None and self.mender is not None
         states = {desk.name: self._state(now, desk.name) for desk in followed.problem.desks}
-        capacity = room(followed.problem, followed.plan, states, self.cold)
-        mended = self.mender.mend(capacity)
+        capacity = capacities(followed.problem, followed.plan, states, self.cold)
+        mended = self.mender.reroute(capacity)
         for kind, steering in self.steering.items():
-            goal = shares(followed.plan, mended, kind, followed.district)
+            goal = district_shares(followed.plan, mended, kind, followed.district)
             steering.goal = goal or self._by_room(followed, kind, capacity)
 
-    def _by_room(self, followed: Followed, kind: str, capacity: Mapping[str, int]) -> dict[str, int]:
+    def _by_room(self, followed: FollowedPlan, kind: str, capacity: Mapping[str, int]) -> dict[str, int]:
         """A class that the repair leaves without any desk still gets first choices: its desks by their room.
 
         The module refuses what they can't take; without a first choice it could take none.
@@ -224,7 +224,7 @@
         parts = {
             desk: max(1, capacity[desk])
             for desk, given in sorted(followed.plan.placement)
-            if given == kind and self.desks.get(desk, Seen()).ready
+            if given == kind and self.desks.get(desk, DeskRecord()).ready
         }
         return permille(parts) if parts else {}
 
@@ -232,12 +232,12 @@
         out = {name for name, seen in self.desks.items() if not seen.ready}
         for steering in self.steering.values():
             gone = frozenset(name for name in steering.now if name in out or name not in self.desks)
-            if not gone and _apart(steering.now, steering.goal) < DEADBAND and steering.now:
+            if not gone and _apart(steering.now, steering.goal) < DEADBAND_PERMILLE and steering.now:
                 continue
             if not steering.now or gone >= steering.now.keys():
                 steering.use(dict(steering.goal))  # nothing to move from
             else:
-                steering.use(towards(steering.now, steering.goal, most, gone))
+                steering.use(step_towards(steering.now, steering.goal, most, gone))
 
     # -- inputs of the module -------------------------------------------------------------------
 
@@ -251,11 +251,11 @@
             desk = self._other(kind).pick(number)
         return self.desks[desk].cell if desk is not None else usual
 
-    def _other(self, kind: str) -> StickyDraw:
+    def _other(self, kind: str) -> RendezvousHash:
         """A draw among the listed desks that the settings allow a class; rebuilt when the list changes."""
         if kind not in self.others:
             pools = self.classes[kind].pools if kind in self.classes else None
-            self.others[kind] = StickyDraw(
+            self.others[kind] = RendezvousHash(
                 {name: 1 for name, seen in self.desks.items() if seen.ready and (pools is None or seen.cell in pools)}
             )
         return self.others[kind]
--- a/seamlb/planning/model.py
+++ b/seamlb/planning/model.py
@@ -74,7 +74,7 @@
 
 
 Cell = tuple[str, str, str]  # class, district, office
-Spot = tuple[str, str, str]  # class, district, desk
+Route = tuple[str, str, str]  # class, district, desk
 Placement = frozenset[tuple[str, str]]  # desk, class
 
 
@@ -83,13 +83,13 @@
     """A whole planning problem; names are unique, and every order is by name."""
 
     districts: tuple[str, ...]
-    times: Mapping[tuple[str, str], int]  # one way, microseconds; both directions are there
+    latencies_us: Mapping[tuple[str, str], int]  # one way, microseconds; both directions are there
     offices: tuple[Office, ...]
     kinds: tuple[Kind, ...]
     desks: tuple[PlanDesk, ...]
     demand: Mapping[Cell, int]  # offered, units
     grain: int = 1  # milli-erlangs a unit
-    over_worth: int = 50  # permille of the worth that load beyond an office's share has
+    over_share_worth: int = 50  # permille of the worth that load beyond an office's share has
     second_choice: int = 1500  # permille of the holding time at a desk of second choice
     start_capacity: int = 300  # permille of its rate that a cold processor has
     budget: int | None = None
@@ -130,11 +130,11 @@
         return {one.name: -(-one.floor * own[one.name] // PERMILLE) for one in self.offices}
 
     @cached_property
-    def caps(self) -> dict[tuple[str, str], int]:
+    def class_capacities(self) -> dict[tuple[str, str], int]:
         """Units that a desk carries when this class is among those it is given, by (desk, class)."""
-        return {(d.name, k.name): self._cap(d, k) for d in self.desks for k in self.kinds}
+        return {(d.name, k.name): self._class_capacity(d, k) for d in self.desks for k in self.kinds}
 
-    def _cap(self, desk: PlanDesk, kind: Kind) -> int:
+    def _class_capacity(self, desk: PlanDesk, kind: Kind) -> int:
         if kind.name not in desk.skills:
             return 0
         if kind.measure == "loss":
@@ -151,17 +151,17 @@
 
         On the safe side, and what keeps the flows of a fixed placement a network with whole solutions.
         """
-        return min((self.caps[desk, kind] for kind in given), default=0)
+        return min((self.class_capacities[desk, kind] for kind in given), default=0)
 
-    def time(self, one: str, other: str) -> int:
+    def latency_us(self, origin: str, target: str) -> int:
         """Microseconds between two districts."""
-        return self.times[one, other]
+        return self.latencies_us[origin, target]
 
     def allowed(self, desk: PlanDesk, kind: str) -> bool:
         """May the desk be given the class, whatever else is placed?"""
         return kind in desk.skills and kind not in desk.forbidden and desk.agents > 0
 
-    def given(self, placement: Placement) -> dict[str, tuple[str, ...]]:
+    def classes_by_desk(self, placement: Placement) -> dict[str, tuple[str, ...]]:
         """The classes of each desk in order; desks without any are left out."""
         out: dict[str, list[str]] = {}
         for desk, kind in sorted(placement):
@@ -172,12 +172,12 @@
         """What a placement costs."""
         return sum(self.desk[name].cost for name in {desk for desk, _ in placement})
 
-    def moved(self, placement: Placement) -> int:
+    def count_moves(self, placement: Placement) -> int:
         """Changes of placement from the plan in force (from nothing, if there is none) at desks of the problem."""
         known = {pair for pair in self.current or () if pair[0] in self.desk and pair[1] in self.kind}
         return len(placement ^ known)
 
-    def bits(self, placement: Placement) -> tuple[int, ...]:
+    def canonical_key(self, placement: Placement) -> tuple[int, ...]:
         """The placement's place in the canonical order: greatest first, desks and classes by name."""
         kinds = sorted(self.kind)
         return tuple(int((desk, kind) in placement) for desk in sorted(self.desk) for kind in kinds)
@@ -192,7 +192,7 @@
     """
 
     supply: Mapping[Cell, tuple[int, int]]
-    routes: Mapping[Spot, int]
+    routes: Mapping[Route, int]
 
 
 @dataclass(slots=True, frozen=True)
@@ -227,10 +227,10 @@
     worth = distance = 0
     for (kind, _, _), (within, beyond) in flows.supply.items():
         value = problem.kind[kind].value
-        worth += value * within + value * problem.over_worth // PERMILLE * beyond
+        worth += value * within + value * problem.over_share_worth // PERMILLE * beyond
     for (_, district, desk), units in flows.routes.items():
-        distance += problem.time(district, problem.desk[desk].district) * units
-    return Objective(worth, problem.cost(placement), distance, problem.moved(placement))
+        distance += problem.latency_us(district, problem.desk[desk].district) * units
+    return Objective(worth, problem.cost(placement), distance, problem.count_moves(placement))
 
 
 def weights(problem: Problem, flows: Flows) -> dict[tuple[str, str], dict[str, int]]:
--- a/seamlb/planning/plan_files.py
+++ b/seamlb/planning/plan_files.py
@@ -73,11 +73,11 @@
     route: list[RouteTable] = []
 
 
-def digest(problem: Problem) -> str:
+def problem_digest(problem: Problem) -> str:
     """Tells whether a plan was made for this very problem; the plan in force and the limit on moves are no part."""
     parts = (
         sorted(problem.districts),
-        sorted(problem.times.items()),
+        sorted(problem.latencies_us.items()),
         sorted(problem.offices, key=lambda o: o.name),
         sorted(problem.kinds, key=lambda k: k.name),
         [
@@ -99,7 +99,7 @@
         ],
         [(cell, problem.demand[cell]) for cell in problem.cells],
         problem.grain,
-        problem.over_worth,
+        problem.over_share_worth,
         problem.second_choice,
         problem.start_capacity,
         problem.budget,
@@ -111,7 +111,7 @@
     """The plan as TOML; the same plan always gives the same bytes."""
     lines = [
         f'status = "{plan.status}"',
-        f'problem = "{digest(problem)}"',
+        f'problem = "{problem_digest(problem)}"',
         f"grain_milli_erlangs = {problem.grain}",
         f"proven = [{', '.join(chr(34) + one + chr(34) for one in plan.proven)}]",
         f"nodes = {plan.nodes}",
@@ -126,7 +126,7 @@
         "[allowances]",
         *(f'"{name}" = {rate:.6f}' for name, rate in sorted(allowances_per_s(problem, plan.flows).items())),
     ]
-    for desk, kinds in problem.given(plan.placement).items():
+    for desk, kinds in problem.classes_by_desk(plan.placement).items():
         lines += [
             "",
             "[[placement]]",
@@ -168,10 +168,10 @@
 
 def load_plan(path: str | Path) -> Plan:
     """Read a plan; it is not checked against any problem yet. Raises PlanningError with one line."""
-    return plan_of(path)[0]
+    return read_plan_file(path)[0]
 
 
-def plan_of(path: str | Path) -> tuple[Plan, PlanTable]:
+def read_plan_file(path: str | Path) -> tuple[Plan, PlanTable]:
     """The plan of a file beside the file's own tables."""
     path = Path(path)
     table = decode_table(path, PlanTable)
--- a/seamlb/planning/problem_check.py
+++ b/seamlb/planning/problem_check.py
@@ -36,7 +36,7 @@
         raise PlanningError("offices: the shares add up to more than the whole")
     worth = sum(problem.kind[c].value * units for (c, _, _), units in problem.demand.items())
     cost = sum(one.cost for one in problem.desks)
-    distance = problem.offered * max(problem.times.values(), default=0)
+    distance = problem.offered * max(problem.latencies_us.values(), default=0)
     for label, total in (("worth", worth), ("cost", cost), ("distance", distance)):
         if total > LARGEST:
             raise PlanningError(
--- a/seamlb/planning/program.py
+++ b/seamlb/planning/program.py
@@ -78,7 +78,7 @@
         out = {}
         for (kind, _, _, beyond), column in self.supplied.items():
             value = self.problem.kind[kind].value
-            out[column] = float(value * self.problem.over_worth // PERMILLE if beyond else value)
+            out[column] = float(value * self.problem.over_share_worth // PERMILLE if beyond else value)
         return out
 
     def costs(self) -> list[tuple[Terms, int]]:
@@ -99,7 +99,7 @@
     def distance(self) -> Terms:
         """Only where routes are kept by district."""
         return {
-            column: -float(self.problem.time(district, self.problem.desk[desk].district))
+            column: -float(self.problem.latency_us(district, self.problem.desk[desk].district))
             for (_, district, desk), column in self.routed.items()
         }
 
@@ -152,7 +152,7 @@
             program.placed[name, kind] = program.column(1.0, whole=True)
     for (kind, district), units in sorted(demand.items()):
         for name in desks:
-            if top := min(problem.caps[name, kind], units):
+            if top := min(problem.class_capacities[name, kind], units):
                 program.routed[kind, district, name] = program.column(float(top))
     for kind, district, office in problem.cells:
         for beyond in (0, 1):
@@ -191,14 +191,14 @@
 
 def _desk(program: Program, name: str, kinds: list[str], wanted: Mapping[str, int], by_district: bool) -> None:
     problem = program.problem
-    top = max(problem.caps[name, kind] for kind in kinds)
+    top = max(problem.class_capacities[name, kind] for kind in kinds)
     here = _by_kind(program, name, sorted(problem.districts) if by_district else [""])
     load = {column: 1.0 for columns in here.values() for column in columns}
     opened = program.open[name]
     if load:
         program.row(load | {opened: -float(top)}, high=0.0)
     for kind in kinds:
-        placed, cap = program.placed[name, kind], problem.caps[name, kind]
+        placed, cap = program.placed[name, kind], problem.class_capacities[name, kind]
         program.row({placed: 1.0, opened: -1.0}, high=0.0)
         if columns := here.get(kind):
             program.row(dict.fromkeys(columns, 1.0) | {placed: -float(min(cap, wanted[kind]))}, high=0.0)
--- a/seamlb/planning/repair.py
+++ b/seamlb/planning/repair.py
@@ -26,14 +26,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Cold:
+class WarmUp:
     """What rule 4 allows of a cold desk, as its settings give it."""
 
     start_capacity: float
     cold_ms: float
 
 
-def room(problem: Problem, plan: Plan, states: Mapping[str, DeskState], cold: Cold) -> dict[str, int]:
+def capacities(problem: Problem, plan: Plan, states: Mapping[str, DeskState], cold: WarmUp) -> dict[str, int]:
     """Units that each desk of the placement may be given now.
 
     A full desk keeps what the plan gave it: being full is what a well-used desk looks like, and its state is seconds
@@ -43,7 +43,7 @@
     planned = dict.fromkeys(problem.desk, 0)
     for (_, _, desk), units in plan.flows.routes.items():
         planned[desk] += units
-    for desk, kinds in problem.given(plan.placement).items():
+    for desk, kinds in problem.classes_by_desk(plan.placement).items():
         state = states.get(desk, DeskState(listed=False))
         units = problem.capacity(desk, kinds)
         if not state.listed or state.draining:
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Mended:
+class RepairedFlows:
     """What the repair carries: units by (class, desk), the worth, and whether every office's floor is held."""
 
     routes: Mapping[tuple[str, str], int]
@@ -71,7 +71,7 @@
 
     def __init__(self, problem: Problem, plan: Plan) -> None:
         self.problem = problem
-        self.given = problem.given(plan.placement)
+        self.given = problem.classes_by_desk(plan.placement)
         self.planned: Counter[tuple[str, str]] = Counter()
         for (kind, _, desk), units in plan.flows.routes.items():
             self.planned[kind, desk] += units
@@ -79,7 +79,7 @@
         for (kind, _, office), units in problem.demand.items():
             self.demand[kind, office] += units
 
-    def mend(self, capacity: Mapping[str, int]) -> Mended:
+    def reroute(self, capacity: Mapping[str, int]) -> RepairedFlows:
         """The best flows of the plan's placement within these capacities: offices' floors, then worth, then the
         fewest units elsewhere than planned.
 
@@ -103,7 +103,7 @@
                 if kind not in wants:
                     wants[kind] = net.node()
                 here, value = net.node(), problem.kind[kind].value
-                less = value * problem.over_worth // PERMILLE
+                less = value * problem.over_share_worth // PERMILLE
                 supply += [
                     (net.arc(within, here, INFINITE, -big * value), value),
                     (net.arc(beyond, here, INFINITE, -big * less), less),
@@ -124,14 +124,14 @@
                         )
                     )
         cheapest(net, source, sink)
-        return Mended(
+        return RepairedFlows(
             {(kind, desk): net.flow(a) + net.flow(b) for kind, desk, a, b in routes},
             sum(net.flow(arc) * value for arc, value in supply),
             all(net.flow(arc) == floor for arc, floor in floors),
         )
 
 
-def shares(plan: Plan, mended: Mended, kind: str, district: str) -> dict[str, int]:
+def district_shares(plan: Plan, mended: RepairedFlows, kind: str, district: str) -> dict[str, int]:
     """Permille by desk for a class's calls from a district; without planned calls there, for those from anywhere.
 
     What the repair takes off a desk is taken off every district in proportion, and what it adds to others goes to all
@@ -165,7 +165,7 @@
     return {name: one for name, one in out.items() if one}
 
 
-def towards(now: Mapping[str, int], goal: Mapping[str, int], most: int, gone: frozenset[str]) -> dict[str, int]:
+def step_towards(now: Mapping[str, int], goal: Mapping[str, int], most: int, gone: frozenset[str]) -> dict[str, int]:
     """A step from one desk's shares to another's that moves at most `most` permille, and all of what `gone` had.
 
     What desks that are gone had is free at once; it goes to where the goal lacks most, the rest follows in bounds.
@@ -196,9 +196,9 @@
     return out
 
 
-def losses(problem: Problem, plan: Plan) -> list[tuple[str, int]]:
+def worth_after_losses(problem: Problem, plan: Plan) -> list[tuple[str, int]]:
     """The worth that repair keeps when any one open desk, or any one district, is lost; the worst first."""
-    given = problem.given(plan.placement)
+    given = problem.classes_by_desk(plan.placement)
     whole = {desk: problem.capacity(desk, kinds) for desk, kinds in given.items()}
     mender = Repair(problem, plan)
     cases = {f"desk {desk}": {desk} for desk in given}
@@ -207,5 +207,5 @@
     out = []
     for name, away in cases.items():
         left = {desk: 0 if desk in away else units for desk, units in whole.items()}
-        out.append((name, mender.mend(left).worth))
+        out.append((name, mender.reroute(left).worth))
     return sorted(out, key=lambda one: (one[1], one[0]))
--- a/seamlb/planning/solve.py
+++ b/seamlb/planning/solve.py
@@ -1,8 +1,8 @@
 """Solves a planning problem to proven optimality with HiGHS, one part of the objective after the other.
 
 Each part's best value becomes a row of the next part's program. A float solver can't be trusted with the last unit:
-the flows of every placement that it names are computed again as integers (`carry`), its value must agree with them,
-and a placement that breaks a rule exactly is cut off and the program solved again.
+the flows of every placement that it names are computed again as integers (`optimal_flows`), its value must agree
+with them, and a placement that breaks a rule exactly is cut off and the program solved again.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from math import gcd
 from typing import Any
 
-from seamlb.planning.carry import carry
+from seamlb.planning.carry import optimal_flows
 from seamlb.planning.model import Objective, Placement, Plan, PlanningError, Problem, objective
 from seamlb.planning.program import DIGIT, INFINITE, Program, Row, Rule, Terms, build, rules
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class SolverResult:
     """What one solve gave: column values, its objective value, the best bound, and whether that proves it."""
 
     values: list[float]
@@ -59,16 +59,16 @@
     cache: dict[Placement, Objective] = field(default_factory=dict)
     settled: dict[str, int] = field(default_factory=dict)  # best values of the parts that are proven
 
-    def figures(self, placement: Placement) -> Objective:
+    def evaluate(self, placement: Placement) -> Objective:
         """The exact objective of a placement."""
         if placement not in self.cache:
-            flows = carry(self.problem, placement, exact=False)
+            flows = optimal_flows(self.problem, placement, exact=False)
             self.cache[placement] = objective(self.problem, placement, flows)
         return self.cache[placement]
 
     def cut(self, program: Program, placement: Placement) -> Row | None:
         """A row that cuts a placement off which only rounding let through."""
-        figures, settled = self.figures(placement), self.settled
+        figures, settled = self.evaluate(placement), self.settled
         dearest = min(one for one in (self.problem.budget, settled.get("cost"), 1 << 62) if one is not None)
         if figures.cost > dearest:
             return cover(program, placement)
@@ -79,7 +79,7 @@
         )
         return but(program, placement) if short else None
 
-    def stage(self, name: str, program: Program, goal: Terms, exact: Callable[[Placement], int]) -> int:
+    def solve_stage(self, name: str, program: Program, goal: Terms, exact: Callable[[Placement], int]) -> int:
         """The best value of one part, exactly; cuts off what only rounding lets through."""
         for _ in range(CUTS):
             try:
@@ -119,7 +119,7 @@
         if search.best is None:
             raise
     assert search.best is not None
-    flows = carry(problem, search.best)
+    flows = optimal_flows(problem, search.best)
     figures = objective(problem, search.best, flows)
     status = "optimal" if len(proven) == len(STEPS) else "stopped"
     return Plan(search.best, flows, figures, status, tuple(proven), search.bound, search.nodes)
@@ -128,9 +128,9 @@
 def _stages(search: Search) -> Iterator[str]:
     """Runs the parts in order, yielding each one's name when it is proven."""
     problem = search.problem
-    figures, settled = search.figures, search.settled
+    figures, settled = search.evaluate, search.settled
     small = build(problem, by_district=False)
-    settled["worth"] = search.stage("worth", small, small.worth(), lambda p: figures(p).worth)
+    settled["worth"] = search.solve_stage("worth", small, small.worth(), lambda p: figures(p).worth)
     yield "worth"
     small.row(small.worth(), low=float(settled["worth"]))
     low: list[float] = []
@@ -140,7 +140,7 @@
             whole = figures(placement).cost // weight
             return -(whole % DIGIT if low else whole)
 
-        part = -search.stage("cost", small, terms, digit)
+        part = -search.solve_stage("cost", small, terms, digit)
         low.append(-float(part))
         small.row(terms, low=low[-1])
     assert search.best is not None
@@ -150,12 +150,12 @@
     large.row(large.worth(), low=float(settled["worth"]))
     for (terms, _), least in zip(large.costs(), low, strict=True):
         large.row(terms, low=least)
-    settled["distance"] = -search.stage("distance", large, large.distance(), lambda p: -figures(p).distance)
+    settled["distance"] = -search.solve_stage("distance", large, large.distance(), lambda p: -figures(p).distance)
     yield "distance"
     large.row(large.distance(), low=-float(settled["distance"]))
     kept = sum(pair in (problem.current or ()) for pair in large.placed)
     # The figures count placements in force that are given up; the terms leave that constant out.
-    settled["moves"] = kept - search.stage("moves", large, large.moves(), lambda p: kept - figures(p).moves)
+    settled["moves"] = kept - search.solve_stage("moves", large, large.moves(), lambda p: kept - figures(p).moves)
     yield "moves"
     large.row(large.moves(), low=float(kept - settled["moves"]))
     pairs = [
@@ -170,7 +170,7 @@
         def place(placement: Placement, chunk: Sequence[tuple[str, str]] = chunk) -> int:
             return int("".join(str(int(pair in placement)) for pair in chunk), 2)
 
-        search.stage("order", large, terms, place)
+        search.solve_stage("order", large, terms, place)
         assert search.best is not None
         for pair in chunk:
             column = large.placed[pair]
@@ -233,7 +233,7 @@
     return sorted(kept, key=everything.index)
 
 
-def optimise(program: Program, goal: Terms, until: float, start: Placement | None) -> Found:
+def optimise(program: Program, goal: Terms, until: float, start: Placement | None) -> SolverResult:
     """Maximise with HiGHS; one thread and a fixed seed, so that the same program gives the same answer."""
     import highspy
     import numpy
@@ -305,12 +305,12 @@
         # HiGHS 1.16 can prove a better value in its presolve and still hand back the columns it was started with.
         return optimise(program, goal, until, None)
     bound = -info.mip_dual_bound if any(program.whole) else -info.objective_function_value
-    return Found(answer, value, bound * scale, status == known.kOptimal, max(0, int(info.mip_node_count)))
+    return SolverResult(answer, value, bound * scale, status == known.kOptimal, max(0, int(info.mip_node_count)))
 
 
 def _start(program: Program, placement: Placement) -> list[float]:
     """A known placement with its exact flows, as column values for the solver to begin with."""
-    done = carry(program.problem, placement, exact=False)
+    done = optimal_flows(program.problem, placement, exact=False)
     values = [0.0] * len(program.low)
     by_district = any(district for _, district, _ in program.routed)
     for pair in placement:
--- a/seamlb/planning/words.py
+++ b/seamlb/planning/words.py
@@ -70,7 +70,7 @@
 
 def show(problem: Problem, plan: Plan) -> list[str]:
     """Which desks open, what each carries, what each class and office gets."""
-    figures, given = plan.objective, problem.given(plan.placement)
+    figures, given = plan.objective, problem.classes_by_desk(plan.placement)
     lines = [
         f"{plan.status}: worth {figures.worth}, cost {figures.cost}, distance {figures.distance}, "
         f"moves {figures.moves}"
@@ -119,7 +119,7 @@
 
 def slack(problem: Problem, plan: Plan) -> list[tuple[str, int, int]]:
     """Every constraint: its name, what is used, what is left."""
-    given = problem.given(plan.placement)
+    given = problem.classes_by_desk(plan.placement)
     out: list[tuple[str, int, int]] = []
     if problem.budget is not None:
         out.append(("budget", plan.objective.cost, problem.budget - plan.objective.cost))
--- a/seamlb/subsystems/plan.py
+++ b/seamlb/subsystems/plan.py
@@ -11,7 +11,7 @@
 from seamlb.subsystems import Subsystem
 
 if TYPE_CHECKING:
-    from seamlb.planning.follow import Followed, Guide
+    from seamlb.planning.follow import FollowedPlan, PlanFollower
 
 STEP_INTERVAL_S = 0.25  # between two updates of the plan's shares
 
@@ -24,12 +24,12 @@
     def __init__(
         self,
         config: Config,
-        initial_plan: Followed | None,
+        initial_plan: FollowedPlan | None,
         agent: Agent,
         schedule: Callable[[float, str, Callable[[], None]], None],
     ) -> None:
         self.config, self.initial_plan, self.agent, self.schedule = config, initial_plan, agent, schedule
-        self.follower: Guide | None = None
+        self.follower: PlanFollower | None = None
 
     @property
     def settings_need_restart(self) -> bool:  # type: ignore[override]
@@ -41,21 +41,21 @@
         if self.initial_plan:
             self.follow(self.initial_plan)
 
-    def follow(self, plan: Followed) -> None:
+    def follow(self, plan: FollowedPlan) -> None:
         """Start steering calls by a plan."""
         # Imported only when enabled: a daemon without plug-ins has none of these libraries.
-        from seamlb.planning.follow import Guide
+        from seamlb.planning.follow import PlanFollower
 
-        self.follower = self.agent.steering = Guide(self.config.settings, self.config.tenants)
+        self.follower = self.agent.steering = PlanFollower(self.config.settings, self.config.tenants)
         self.follower.update_desks(self.agent.clock(), self.agent.listed.values())
-        self.follower.adopt(self.agent.clock(), plan)
+        self.follower.set_plan(self.agent.clock(), plan)
         self.agent.apply_steering()
         self.schedule(STEP_INTERVAL_S, "plan", self.agent.apply_steering)
 
     def reload(self, config: Config, plugins: Plugins) -> None:
         """Follow the new plan in the files."""
         if self.follower:
-            self.follower.adopt(self.agent.clock(), plugins.plan)
+            self.follower.set_plan(self.agent.clock(), plugins.plan)
             self.agent.apply_steering()
         elif plugins.plan:
             self.config = config
--- a/tests/exhaustive.py
+++ b/tests/exhaustive.py
@@ -81,7 +81,7 @@
         worth, carried = 0, dict.fromkeys(pairs, 0)
         for (kind, district, office), (within, beyond) in zip(demand, choice, strict=True):
             value = problem.kind[kind].worth * 1_000_000 // problem.kind[kind].holding_ms
-            worth += value * within + value * problem.over_worth // 1000 * beyond
+            worth += value * within + value * problem.over_share_worth // 1000 * beyond
             carried[kind, district] += within + beyond
             full[office] += within
             held[office] += within + beyond
@@ -108,11 +108,11 @@
     most = tuple(max(one[place] for one in wanted) for place in range(len(pairs))) if wanted else ()
     states: dict[tuple[int, ...], tuple[int, tuple[int, ...]]] = {(0,) * len(pairs): (0, ())}
     for desk in desks:
-        room = min((problem.caps[desk.name, k] for k in given[desk.name]), default=0)
+        room = min((problem.class_capacities[desk.name, k] for k in given[desk.name]), default=0)
         tops = [min(room, top) if k in given[desk.name] else 0 for (k, _), top in zip(pairs, most, strict=True)]
         slots = [place for place, (k, _) in enumerate(pairs) if k in given[desk.name]]
         steps = [one for one in itertools.product(*(range(t + 1) for t in tops)) if sum(one) <= room]
-        away = [problem.times[d, desk.district] for _, d in pairs]
+        away = [problem.latencies_us[d, desk.district] for _, d in pairs]
         after: dict[tuple[int, ...], tuple[int, tuple[int, ...]]] = {}
         for state, (distance, routes) in states.items():
             for step in steps:
--- a/tests/floods.py
+++ b/tests/floods.py
@@ -6,9 +6,9 @@
 
 from seamlb import api
 from seamlb.planning.files import load_problem
-from seamlb.planning.follow import Followed, Guide
+from seamlb.planning.follow import FollowedPlan, PlanFollower
 from seamlb.planning.model import Plan, Problem
-from seamlb.planning.repair import Cold
+from seamlb.planning.repair import WarmUp
 from seamlb.routing.model import Desk
 from tests.support import RAW
 
@@ -21,12 +21,12 @@
 NAMES = sorted(FLOOD.desk)
 
 
-COLD = Cold(0.3, 14_000.0)
+COLD = WarmUp(0.3, 14_000.0)
 
 
-def fixed(problem: Problem, plan: Plan, lost: str = "") -> Problem:
+def with_fixed_placement(problem: Problem, plan: Plan, lost: str = "") -> Problem:
     """The problem whose only placement is the plan's; a lost desk can't carry anything."""
-    given = problem.given(plan.placement)
+    given = problem.classes_by_desk(plan.placement)
     desks = tuple(
         replace(
             d,
@@ -58,14 +58,14 @@
     return [Desk(name, "", 0, NAMES.index(name), phase, since) for name in names]
 
 
-def guide(plan: Plan, *names: str, until: float = float("inf")) -> Guide:
-    made = Guide(settings(), tuple(o.name for o in FLOOD.offices))
+def follower(plan: Plan, *names: str, until: float = float("inf")) -> PlanFollower:
+    made = PlanFollower(settings(), tuple(o.name for o in FLOOD.offices))
     made.update_desks(0.0, desks(*(names or NAMES)))
-    made.adopt(0.0, Followed(FLOOD, plan, "szeged", until))
+    made.set_plan(0.0, FollowedPlan(FLOOD, plan, "szeged", until))
     return made
 
 
-def drawn(made: Guide, now: float, kind: str, count: int = 2000) -> dict[str, int]:
+def count_choices(made: PlanFollower, now: float, kind: str, count: int = 2000) -> dict[str, int]:
     out: dict[str, int] = {}
     for number in range(count):
         name = NAMES[made.first_choice(now, kind, b"%d" % number, 99)]
--- a/tests/problems.py
+++ b/tests/problems.py
@@ -30,7 +30,7 @@
     kinds = (Kind("a", 2, 10_000, "loss", target_ppm=500_000), Kind("b", 1, 10_000, "loss", target_ppm=500_000))
     facts: dict[str, Any] = {
         "districts": ("d0", "d1"),
-        "times": {("d0", "d0"): 0, ("d1", "d1"): 0, ("d0", "d1"): 9, ("d1", "d0"): 9},
+        "latencies_us": {("d0", "d0"): 0, ("d1", "d1"): 0, ("d0", "d1"): 9, ("d1", "d0"): 9},
         "offices": (Office("o", 1000),),
         "kinds": kinds,
         "desks": desks,
--- a/tests/test_plan_files.py
+++ b/tests/test_plan_files.py
@@ -41,7 +41,7 @@
     for one in worse:
         assert check(made, one), one
     # A unit too much at one desk, all sums agreeing: only the grade of service tells.
-    room = made.caps["x", "a"]
+    room = made.class_capacities["x", "a"]
     crowded = problem(desk("x"), load=room + 1)
     full = solve(crowded)
     moved = replace(
@@ -121,7 +121,7 @@
     """The time runs out in the third part: the plan has the first two parts' best values."""
     real, calls = solver.optimise, []
 
-    def slow(*args: Any) -> solver.Found:
+    def slow(*args: Any) -> solver.SolverResult:
         calls.append(1)
         found = real(*args)
         return found if len(calls) < 3 else replace(found, proven=False, bound=found.bound + 100.0)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -19,14 +19,14 @@
     """All of a plan in the exhaustive search's form."""
     supply = tuple(units for cell in problem.cells for units in plan.flows.supply[cell])
     pairs = sorted({(kind, district) for kind, district, _ in problem.cells})
-    given = problem.given(plan.placement)
+    given = problem.classes_by_desk(plan.placement)
     routes = tuple(
         plan.flows.routes[kind, district, desk]
         for desk in sorted(problem.desk)
         for kind, district in pairs
         if kind in given.get(desk, ())
     )
-    return (*plan.objective.key(), problem.bits(plan.placement), supply, routes)
+    return (*plan.objective.key(), problem.canonical_key(plan.placement), supply, routes)
 
 
 def compare(seed: int) -> bool:
@@ -100,7 +100,7 @@
 
 
 def test_demand_at_capacity_and_one_unit_above() -> None:
-    room = problem(desk("x")).caps["x", "a"]
+    room = problem(desk("x")).class_capacities["x", "a"]
     full = solve(problem(desk("x"), load=room))
     assert full.flows.supply["a", "d0", "o"] == (room, 0)
     over = solve(problem(desk("x"), load=room + 1))
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from seamlb.planning.carry import carry
+from seamlb.planning.carry import optimal_flows
 from seamlb.planning.files import load_problem
 from seamlb.planning.model import Objective, Plan
-from seamlb.planning.repair import DeskState, Repair, room, towards
+from seamlb.planning.repair import DeskState, Repair, capacities, step_towards
 from seamlb.planning.solve import InfeasibleError, solve
 from tests.exhaustive import random_problem
-from tests.floods import COLD, FLOOD, NAMES, ROOT, fixed
+from tests.floods import COLD, FLOOD, NAMES, ROOT, with_fixed_placement
 
 
 @pytest.fixture(scope="module")
@@ -28,12 +28,12 @@
         except InfeasibleError:
             continue
         for lost in ("", *sorted({desk for desk, _ in plan.placement})):
-            same = fixed(problem, plan, lost)
+            same = with_fixed_placement(problem, plan, lost)
             whole = {
                 desk: problem.capacity(desk, kinds) if desk != lost else 0
-                for desk, kinds in problem.given(plan.placement).items()
+                for desk, kinds in problem.classes_by_desk(plan.placement).items()
             }
-            mended = Repair(replace(problem, offices=same.offices), plan).mend(whole)
+            mended = Repair(replace(problem, offices=same.offices), plan).reroute(whole)
             assert mended.worth == solve(same).objective.worth, (seed, lost)
             shown += 1
     assert shown > 150
@@ -43,18 +43,18 @@
     """One desk is left; the poor office's floor is carried although the rich one's calls are worth more."""
     made = load_problem(ROOT / "examples/plan/flood.toml")
     plan = solve(made)
-    none = dict.fromkeys(made.given(plan.placement), 0)
+    none = dict.fromkeys(made.classes_by_desk(plan.placement), 0)
     floor, value = made.floors["szabolcs-megye"], made.kind["level-check"].value
-    mended = Repair(made, plan).mend(none | {"szeged-1": floor})
+    mended = Repair(made, plan).reroute(none | {"szeged-1": floor})
     assert mended.floors_held and mended.worth == value * floor
     # Without the floor the same units would go to whoever is first, at no less worth.
-    assert not Repair(made, plan).mend(none | {"szeged-1": floor - 1}).floors_held
-    assert not Repair(made, plan).mend(none).floors_held
+    assert not Repair(made, plan).reroute(none | {"szeged-1": floor - 1}).floors_held
+    assert not Repair(made, plan).reroute(none).floors_held
 
 
 def test_room_of_a_desk_by_its_state(plan: Plan) -> None:
-    whole = room(FLOOD, plan, {name: DeskState() for name in NAMES}, COLD)
-    assert whole == {d: FLOOD.capacity(d, k) for d, k in FLOOD.given(plan.placement).items()}
+    whole = capacities(FLOOD, plan, {name: DeskState() for name in NAMES}, COLD)
+    assert whole == {d: FLOOD.capacity(d, k) for d, k in FLOOD.classes_by_desk(plan.placement).items()}
     planned = sum(u for (_, _, d), u in plan.flows.routes.items() if d == "gyor-2")
     for state, expected in (
         (DeskState(listed=False), 0),
@@ -64,18 +64,18 @@
         (DeskState(cold_ms=14_000.0), whole["gyor-2"]),
         (DeskState(full=True), planned),
     ):
-        assert room(FLOOD, plan, {"gyor-2": state}, COLD)["gyor-2"] == expected
+        assert capacities(FLOOD, plan, {"gyor-2": state}, COLD)["gyor-2"] == expected
 
 
 def test_steps_are_bounded_but_for_what_is_gone() -> None:
     now, goal = {"a": 500, "b": 500}, {"a": 0, "c": 1000}
-    one = towards(now, goal, 50, frozenset())
+    one = step_towards(now, goal, 50, frozenset())
     assert sum(one.values()) == 1000 and sum(abs(one.get(k, 0) - now.get(k, 0)) for k in "abc") == 100
-    lost = towards(now, goal, 50, frozenset("a"))
+    lost = step_towards(now, goal, 50, frozenset("a"))
     assert lost == {"b": 450, "c": 550}
-    assert towards(now, {}, 50, frozenset("a")) == {"b": 500}  # no goal: what is left keeps its part
+    assert step_towards(now, {}, 50, frozenset("a")) == {"b": 500}  # no goal: what is left keeps its part
     for _ in range(30):
-        now = towards(now, goal, 50, frozenset())
+        now = step_towards(now, goal, 50, frozenset())
     assert now == {"c": 1000}
 
 
@@ -89,9 +89,9 @@
     placement = frozenset((d.name, k.name) for d in many for k in rng.sample(kinds, 4))
     demand = {(k.name, "budapest", FLOOD.offices[0].name): 2000 for k in kinds}
     problem = replace(FLOOD, kinds=kinds, desks=many, demand=demand)
-    whole = {d: problem.capacity(d, k) for d, k in problem.given(placement).items()}
-    plan = Plan(placement, carry(problem, placement, exact=False), Objective(0, 0, 0, 0), "stopped")
-    before, after = (Repair(problem, plan).mend(room) for room in (whole, whole | {"x007": 0}))
+    whole = {d: problem.capacity(d, k) for d, k in problem.classes_by_desk(placement).items()}
+    plan = Plan(placement, optimal_flows(problem, placement, exact=False), Objective(0, 0, 0, 0), "stopped")
+    before, after = (Repair(problem, plan).reroute(room) for room in (whole, whole | {"x007": 0}))
     load: dict[str, int] = {}
     for (_, desk), units in after.routes.items():
         load[desk] = load.get(desk, 0) + units
