--- a/seamlb/emulator/run.py
+++ b/seamlb/emulator/run.py
@@ -20,12 +20,12 @@
 )
 from seamlb.emulator.standin import StandinDesk, stream
 from seamlb.emulator.world import REPORT_EVERY, EmulatedDesks, Person
-from seamlb.planning.draw import StickyDraw
-from seamlb.planning.follow import Followed, Guide
+from seamlb.planning.draw import RendezvousHash
+from seamlb.planning.follow import FollowedPlan, PlanFollower
 from seamlb.planning.model import PERMILLE, Problem, weights
 from seamlb.plugins.advisor import PluginAdvisor
 from seamlb.plugins.chain import Chain
-from seamlb.plugins.checking import compile_text
+from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.host import Grant, Plugin
 from seamlb.plugins.machine import Interpreter
 from seamlb.routing.agent import Agent
@@ -64,13 +64,13 @@
         self.clients: dict[str, EmulatedDesks] = {}
         for place, district in enumerate(sorted(problem.districts)):
             self._agent(place, district)
-        self.usual = {pair: StickyDraw(units) for pair, units in weights(problem, policy.plan.flows).items()}
+        self.usual = {pair: RendezvousHash(units) for pair, units in weights(problem, policy.plan.flows).items()}
         spread: dict[str, Counter[str]] = defaultdict(Counter)
         for (kind, _), units in weights(problem, policy.plan.flows).items():
             spread[kind].update(units)
         for desk, kind in sorted(policy.plan.placement):
             spread[kind].setdefault(desk, 0)
-        self.anywhere = {kind: StickyDraw({d: u or 1 for d, u in one.items()}) for kind, one in spread.items()}
+        self.anywhere = {kind: RendezvousHash({d: u or 1 for d, u in one.items()}) for kind, one in spread.items()}
 
     def now(self) -> float:
         """The virtual time in milliseconds."""
@@ -86,8 +86,8 @@
         told = replace(told, classes=tuple(replace(c, pools=pools[c.name] or None) for c in told.classes))
         guide = None
         if policy.mended:
-            guide = Guide(told, tuple(o.name for o in offices(problem)))
-            guide.adopt(0.0, Followed(problem, policy.plan, district))
+            guide = PlanFollower(told, tuple(o.name for o in offices(problem)))
+            guide.set_plan(0.0, FollowedPlan(problem, policy.plan, district))
         advisor = self._advisor(told) if policy.rules else None
         agent = Agent(told, self.seed * 1000 + place, clock=self.now, steering=guide, advisor=advisor)
         client = EmulatedDesks(lambda desk: self.far(district, desk), self.holding)
@@ -96,7 +96,7 @@
         self.agents[district], self.clients[district] = agent, client
 
     def _advisor(self, told: api.Settings) -> PluginAdvisor:
-        program = compile_text(self.policy.rules)
+        program = compile_rules(self.policy.rules)
         names = [one.name for one in offices(self.problem)]
         top = max(told.classes, key=lambda kind: kind.worth).name
         chain = Chain(
@@ -109,14 +109,14 @@
             lambda name, facts: None,
             lambda: 0.0,
         )
-        chain.load(0.0, Plugin(program, Interpreter(program), Grant(most=1.0)))
+        chain.load(0.0, Plugin(program, Interpreter(program), Grant(max_share=1.0)))
         for name, of in self.scenario.states:
             chain.set_state(name, of, True)
         return PluginAdvisor(chain, told, names, self.now)
 
     def far(self, district: str, desk: str) -> float:
         """Seconds that a message takes between a district and a server."""
-        return self.problem.time(district, self.problem.desk[desk].district) / 1e6 + 0.0005
+        return self.problem.latency_us(district, self.problem.desk[desk].district) / 1e6 + 0.0005
 
     def holding(self, request: Request, desk: str) -> float:
         """Mean seconds: longer where the class is the desk's second choice."""
