--- a/seamlb/desks/__init__.py
+++ b/seamlb/desks/__init__.py
@@ -1,1 +1,1 @@
-"""Desk clients: attempts of the core, carried out towards duty desks."""
+"""Desk clients: the protocols that desks speak, driven by the core's attempts."""
--- a/seamlb/desks/keeper.py
+++ b/seamlb/desks/keeper.py
@@ -1,4 +1,4 @@
-"""Keeps one connection to a server that carries set-ups, and tests it with another one when it falls silent."""
+"""Maintains the connections to one server: keeps one open for set-ups and tests a silent one with another."""
 
 from __future__ import annotations
 
@@ -15,137 +15,145 @@
 if TYPE_CHECKING:
     from seamlb.desks.link import Link
 
-MAX_CONNECTIONS = 4  # a server tells the state of its group on four at most
-RETRY_FIRST, RETRY_MOST = 0.1, 1.0  # seconds between tries to connect
-SUSPECT = 0.25  # seconds without a byte, with a set-up out, before a second connection tests the first
-QUIET = 2.0  # the same where only calls stand, which may be quiet
-UNREACHABLE = 6.0  # seconds without a way to a server before its standing calls count as cut
-BROKEN = (CloseReason.PEER_RESET, CloseReason.PEER_CLOSED)  # a new connection's bad luck, once: no sign of the server
+MAX_CONNECTIONS = 4  # a server reports the state of its group on at most four connections
+RETRY_MIN, RETRY_MAX = 0.1, 1.0  # seconds between connect attempts
+SETUP_SILENCE = (
+    0.25  # seconds without a byte, with a set-up unanswered, before a second connection is opened as a test
+)
+CALL_SILENCE = 2.0  # the same with established calls only, on which no messages are normal
+UNREACHABLE_AFTER = 6.0  # seconds without contact to a server before its established calls count as cut
+TRANSIENT_REASONS = (CloseReason.PEER_RESET, CloseReason.PEER_CLOSED)  # retried once before the server is suspected
 
 
-class Keeper:
+class ConnectionManager:
     """Opens and closes the connections of one link."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.lost_at: float | None = None  # since when no connection to the server comes up
+        self.unreachable_since: float | None = None  # loop time since when no connection could be opened
 
     async def run(self) -> None:
-        """Hold a connection to the server until it is gone; a fault is logged and must not leave it without one."""
-        while not self.link.gone:
+        """Maintain a connection until the server is removed; an exception is logged and must not end this."""
+        while not self.link.removed:
             try:
-                await self._hold()
+                await self._maintain()
             except Exception as error:
                 log.event("fault", where="desk", error=repr(error), trace=log.trace(error))
-                await asyncio.sleep(RETRY_MOST)
-
-    async def _hold(self) -> None:
-        """Hold a connection to the server, and test with another one when it falls silent."""
-        pause, broke = RETRY_FIRST, False
-        while not self.link.gone:
-            if self.link.open and not self._suspect():
-                self.link.dead = False
-                self.link.free_idle(CloseReason.IDLE)
-                await self._look_within(SUSPECT / 2)
+                await asyncio.sleep(RETRY_MAX)
+
+    async def _maintain(self) -> None:
+        """Keep a connection to the server open, and test it with another one when it falls silent."""
+        pause, was_reset = RETRY_MIN, False
+        while not self.link.removed:
+            if self.link.connections and not self._is_silent():
+                self.link.unreachable = False
+                self.link.close_idle(CloseReason.IDLE)
+                await self._wait_for_wakeup(SETUP_SILENCE / 2)
                 continue
-            if len(self.link.open) >= MAX_CONNECTIONS and not self._make_room():
-                await asyncio.sleep(RETRY_MOST)
+            if len(self.link.connections) >= MAX_CONNECTIONS and not self._close_unused():
+                await asyncio.sleep(RETRY_MAX)
                 continue
-            reason = await self._try()
-            if self.link.gone:
+            reason = await self._open_connection()
+            if self.link.removed:
                 return
             if reason is None:
-                pause, broke = RETRY_FIRST, False
-            elif reason in BROKEN and not broke:
-                broke = True
+                pause, was_reset = RETRY_MIN, False
+            elif reason in TRANSIENT_REASONS and not was_reset:
+                was_reset = True
             else:
-                self._unreachable(reason, asyncio.get_running_loop().time())
-                await self._look_within(pause)
-                pause = min(2 * pause, RETRY_MOST)
+                self._connect_failed(reason, asyncio.get_running_loop().time())
+                await self._wait_for_wakeup(pause)
+                pause = min(2 * pause, RETRY_MAX)
 
-    async def _look_within(self, seconds: float) -> None:
-        """Wait until there is a reason to look at the connections, or for so long."""
-        self.link.wanted.clear()
+    async def _wait_for_wakeup(self, seconds: float) -> None:
+        """Wait until the connections have to be checked, at most this many seconds."""
+        self.link.wakeup.clear()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.link.wanted.wait(), seconds)
+            await asyncio.wait_for(self.link.wakeup.wait(), seconds)
 
-    def _make_room(self) -> bool:
-        """Close a connection without set-ups; False if each has some, as their time-outs will make room."""
-        useless = (one for one in self.link.open if not self.link.legs.unanswered(one))
-        spare = next((one for one in useless if not (one.in_use() or one.has_unread_data())), None)
-        if spare is None:
+    def _close_unused(self) -> bool:
+        """Close one connection without set-ups; False if there is none, until set-ups on them time out."""
+        unused = (one for one in self.link.connections if not self.link.legs.unanswered(one))
+        connection = next((one for one in unused if not (one.in_use() or one.has_unread_data())), None)
+        if connection is None:
             return False
-        spare.close(CloseReason.SILENT)
+        connection.close(CloseReason.SILENT)
         return True
 
-    async def _try(self) -> CloseReason | None:
-        """Open a connection; why it is of no use, or None. It carries set-ups once the server's state came on it.
+    async def _open_connection(self) -> CloseReason | None:
+        """Open a connection and return None, or the reason why it is unusable.
 
-        Guards against a process that hangs: its connections come up, and nothing comes on them.
+        It carries set-ups only once the server has reported its state on it: a process that hangs still accepts
+        connections but sends nothing on them.
         """
         try:
-            connection = await connect(self.link.desk.address, "desk", self.link.owner.connect_timeout)
-        except ConnectError as failed:
-            return failed.reason
-        if self.link.gone:
+            connection = await connect(self.link.desk.address, "desk", self.link.context.connect_timeout)
+        except ConnectError as error:
+            return error.reason
+        if self.link.removed:
             connection.close(CloseReason.REPLACED)
             return CloseReason.REPLACED
-        serving = self.link.owner.spawn(ServerReader(self.link, connection).run())
-        if not self.link.tells:
+        reading = self.link.context.spawn(ServerReader(self.link, connection).run())
+        if not self.link.reports_state:
             self.link.opened(connection)
             return None
-        told = self.link.owner.spawn(self._state_on(connection))
+        state = self.link.context.spawn(self._wait_for_state(connection))
         first = asyncio.FIRST_COMPLETED
-        await asyncio.wait((serving, told), timeout=self.link.owner.connect_timeout, return_when=first)
-        told.cancel()
-        if connection in self.link.open:
+        await asyncio.wait((reading, state), timeout=self.link.context.connect_timeout, return_when=first)
+        state.cancel()
+        if connection in self.link.connections:
             return None
         connection.close(CloseReason.SILENT)
         return connection.reason
 
-    async def _state_on(self, connection: Connection) -> None:
-        """Wait until the server has told its state on a new connection."""
-        while connection not in self.link.open:
-            self.link.told.clear()
-            await self.link.told.wait()
+    async def _wait_for_state(self, connection: Connection) -> None:
+        """Wait until the server has reported its state on a new connection."""
+        while connection not in self.link.connections:
+            self.link.state_event.clear()
+            await self.link.state_event.wait()
 
-    def _suspect(self) -> bool:
-        """Is a set-up out on the newest connection, or does a call stand at the server, and not a byte back for long?
+    def _is_silent(self) -> bool:
+        """Whether nothing arrived on the newest connection for too long, with set-ups or established calls there.
 
-        A connection that has fallen silent brings neither its process's end nor the releases, and at a server that
-        drains no set-up goes out that would show it.
+        A connection that has fallen silent reports neither the end of its process nor releases, and a draining
+        server gets no set-ups whose timeouts would reveal it.
         """
         now = asyncio.get_running_loop().time()
-        newest = self.link.open[-1]
+        newest = self.link.connections[-1]
         silent = now - newest.last_read
-        if silent <= SUSPECT:
+        if silent <= SETUP_SILENCE:
             return False
-        waits = any(now - leg.sent > SUSPECT for leg in self.link.legs.unanswered(newest))
-        return waits or (silent > QUIET and self.link.has_standing())
+        overdue = any(now - leg.sent_at > SETUP_SILENCE for leg in self.link.legs.unanswered(newest))
+        return overdue or (silent > CALL_SILENCE and self.link.has_established())
+
+    def _connect_failed(self, reason: CloseReason, now: float) -> None:
+        """Handle a connect attempt that failed, or a new connection on which no state arrived.
 
-    def _unreachable(self, reason: CloseReason, now: float) -> None:
-        """No connection comes up, or a new one stays silent: what waits never ran; a refusal tells of a dead process.
+        Waiting set-ups fail, because they never ran. A refused connection shows that the process has ended, unless
+        another connection is open: a draining server refuses new connections and keeps its calls, and a process that
+        ends resets the open ones. A process that only hangs keeps its calls, so a silent new connection cuts nothing.
 
-        A process that only hangs keeps what stands there, so silence cuts nothing. Nor does a refusal while a
-        connection is open: a server that drains refuses new ones and has its calls, and a dying process resets. Only
-        when nothing has come on it for long either has it fallen silent, and its process has ended unheard: callers
-        are owed the end of a call that was cut within 8 s. Until then it stays open, also when a new one does not
-        come up in time, which may happen once at a server that refuses all others: what stands there ends on it.
+        If nothing has arrived on the open connection for long either, its process has ended unnoticed; callers have
+        to be told of a cut call within 8 s. Until then it stays open, even if a new connection times out, which may
+        happen once at a server that refuses all others: the releases of its calls arrive on the open one.
         """
-        self.link.dead = True
-        heard = max((one.last_read for one in self.link.open), default=now)
+        self.link.unreachable = True
+        last_read = max((one.last_read for one in self.link.connections), default=now)
         refused = reason == CloseReason.REFUSED
-        quiet = bool(self.link.open) and now - heard < UNREACHABLE
-        if reason == CloseReason.SILENT or (refused and quiet):
-            self.lost_at = None
-        elif self.lost_at is None:
-            self.lost_at = heard + 0.5 if now - heard > QUIET else now  # lost somewhere in that quiet
-        for connection in self.link.open[:]:
-            if now - connection.last_read <= SUSPECT or connection.has_unread_data():
+        recent = bool(self.link.connections) and now - last_read < UNREACHABLE_AFTER
+        if reason == CloseReason.SILENT or (refused and recent):
+            self.unreachable_since = None
+        elif self.unreachable_since is None:
+            # After a long silence the server was lost at some time during it.
+            self.unreachable_since = last_read + 0.5 if now - last_read > CALL_SILENCE else now
+        for connection in self.link.connections[:]:
+            if now - connection.last_read <= SETUP_SILENCE or connection.has_unread_data():
                 continue
-            # Silent too: the machine is gone or cut off, or hangs, or its set-ups would wait for their time-outs.
-            if not quiet or self.link.legs.unanswered(connection):
+            # Also silent: the host is down, cut off or hangs. Close it rather than wait for its set-ups to time out.
+            if not recent or self.link.legs.unanswered(connection):
                 connection.close(CloseReason.SILENT)
         self.link.fail_waiting()
-        if (refused and not self.link.open) or (self.lost_at is not None and now - self.lost_at > UNREACHABLE):
-            self.link.cut_standing()
+        if (refused and not self.link.connections) or (
+            self.unreachable_since is not None and now - self.unreachable_since > UNREACHABLE_AFTER
+        ):
+            self.link.cut_established()
--- a/seamlb/desks/legs.py
+++ b/seamlb/desks/legs.py
@@ -1,4 +1,4 @@
-"""Attempts on the wire and the calls that stand by them."""
+"""The legs of one desk client: attempts sent to servers, and the calls established by them."""
 
 from __future__ import annotations
 
@@ -8,77 +8,77 @@
 from seamlb.net.connection import Connection
 from seamlb.routing.model import Attempt, Heard, Outcome
 
-REMEMBER = 30.0  # seconds for which a leg that is over is known
+CLOSED_LEG_TTL = 30.0  # seconds a leg that has ended is still known
 
 Key = tuple[str, str]  # server, Call-ID
 
 
 @dataclass(slots=True)
 class Leg:
-    """An attempt on the wire, then the call that stands by it."""
+    """An attempt sent to a server, then the call established by it."""
 
     attempt: Attempt
-    heard: Heard
-    connection: Connection | None = None  # None: waits for one
-    stands: bool = False
-    sent: float = 0.0
+    notify: Heard
+    connection: Connection | None = None  # None: waits for a connection
+    established: bool = False
+    sent_at: float = 0.0  # loop time in seconds
 
     @property
     def key(self) -> Key:
-        """Where the attempt goes, and its call."""
+        """The attempt's server and Call-ID."""
         return self.attempt.desk, self.attempt.request.ident
 
     def end(self, outcome: Outcome) -> None:
-        """Tell what became of the attempt, or of the call that stood."""
-        self.heard(self.attempt.leg, outcome)
+        """Report how the attempt or the established call ended."""
+        self.notify(self.attempt.leg, outcome)
 
 
-class Legs:
-    """All legs by server and call; those that are over are known for a while."""
+class LegTable:
+    """All legs by server and Call-ID; those that have ended stay known for a while."""
 
     def __init__(self) -> None:
         self.open: dict[Key, Leg] = {}
-        self.over: dict[Key, float] = {}
+        self.closed: dict[Key, float] = {}  # loop time of the end, the oldest first
 
     def __len__(self) -> int:
         return len(self.open)
 
     def add(self, leg: Leg) -> None:
-        """Take a new leg."""
+        """Add a new leg."""
         self.open[leg.key] = leg
 
     def get(self, key: Key) -> Leg | None:
-        """The leg that is open there."""
+        """Return the open leg with this key."""
         return self.open.get(key)
 
     def known(self, key: Key) -> bool:
-        """Is it open, or was it a short while ago?"""
-        return key in self.open or key in self.over
+        """Whether the leg is open or ended a short while ago."""
+        return key in self.open or key in self.closed
 
-    def take_off(self, key: Key) -> Leg | None:
-        """Take a leg off; it is remembered for a while, so that late word of it is known as such."""
+    def remove(self, key: Key) -> Leg | None:
+        """Remove and return a leg; its key stays known for a while, so that late messages are recognised."""
         now = asyncio.get_running_loop().time()
-        while self.over and next(iter(self.over.values())) < now - REMEMBER:
-            del self.over[next(iter(self.over))]
+        while self.closed and next(iter(self.closed.values())) < now - CLOSED_LEG_TTL:
+            del self.closed[next(iter(self.closed))]
         leg = self.open.pop(key, None)
         if leg is not None:
-            self.over.pop(key, None)
-            self.over[key] = now
+            self.closed.pop(key, None)
+            self.closed[key] = now
         return leg
 
     def end(self, leg: Leg, outcome: Outcome) -> None:
-        """Take a leg off and tell what became of it."""
-        self.take_off(leg.key)
+        """Remove a leg and report how it ended."""
+        self.remove(leg.key)
         leg.end(outcome)
 
-    def at(self, server: str) -> list[Leg]:
-        """All legs at a server."""
+    def at_server(self, server: str) -> list[Leg]:
+        """Return all legs at a server."""
         return [leg for leg in self.open.values() if leg.attempt.desk == server]
 
-    def standing(self, server: str) -> list[Leg]:
-        """The calls that stand at a server."""
-        return [leg for leg in self.at(server) if leg.stands]
+    def established(self, server: str) -> list[Leg]:
+        """Return the established calls at a server."""
+        return [leg for leg in self.at_server(server) if leg.established]
 
     def unanswered(self, connection: Connection) -> list[Leg]:
-        """The set-ups on a connection that have no answer."""
-        return [leg for leg in self.open.values() if leg.connection is connection and not leg.stands]
+        """Return the set-ups on a connection that have no answer."""
+        return [leg for leg in self.open.values() if leg.connection is connection and not leg.established]
--- a/seamlb/desks/link.py
+++ b/seamlb/desks/link.py
@@ -1,4 +1,4 @@
-"""The connections to one server, what waits for one, and what stands there."""
+"""The connections to one server, the set-ups that wait for one, and the calls established there."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from seamlb.desks.keeper import QUIET, Keeper
-from seamlb.desks.legs import Leg, Legs
+from seamlb.desks.keeper import CALL_SILENCE, ConnectionManager
+from seamlb.desks.legs import Leg, LegTable
 from seamlb.desks.requests import bye, invite
 from seamlb.net.connection import Connection
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Message
 from seamlb.routing.model import Attempt, Desk, Outcome, Status
 
-CUT = 41  # Q.850 cause of a call that was cut
-DEAF = 0.1  # seconds for news of the state to come on the other connections too, as a server tells it on each
+CAUSE_CUT = 41  # Q.850 cause of a call that was cut (temporary failure)
+STATE_SPREAD = 0.1  # seconds in which a state update arrives on all connections: a server sends it on each of them
 
 
-class LinkOwner:
-    """What a link's owner gives it, the same for all links."""
+class LinkContext:
+    """What the desk client shares with all its links."""
 
     def __init__(
         self,
         connect_timeout: float,
-        relayed: Callable[[], None],
-        message: Callable[[Link, Connection, Message], None],
-        salvaged: Callable[[Link, Message], None],
+        on_relayed: Callable[[], None],
+        on_message: Callable[[Link, Connection, Message], None],
+        on_salvaged: Callable[[Link, Message], None],
     ) -> None:
         self.connect_timeout = connect_timeout
-        self.relayed = relayed  # an attempt has left whole
-        self.message = message
-        self.salvaged = salvaged
-        self.legs = Legs()
+        self.on_relayed = on_relayed  # called when the last byte of a set-up is written
+        self.on_message = on_message
+        self.on_salvaged = on_salvaged
+        self.legs = LegTable()
         self.tasks: set[asyncio.Task[None]] = set()
         self.closing = False
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task that `tasks` holds until it is done."""
+        """Start a task and keep a reference to it until it is done."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -47,117 +47,117 @@
 class Link:
     """All connections to one server."""
 
-    def __init__(self, desk: Desk, owner: LinkOwner) -> None:
-        self.desk, self.owner, self.legs = desk, owner, owner.legs
-        self.open: list[Connection] = []  # the last one carries what is new
-        self.wanted = asyncio.Event()  # there is a reason to look at the connections
-        self.told = asyncio.Event()  # a new connection brought the state
+    def __init__(self, desk: Desk, context: LinkContext) -> None:
+        self.desk, self.context, self.legs = desk, context, context.legs
+        self.connections: list[Connection] = []  # new messages go to the last one
+        self.wakeup = asyncio.Event()  # the connections have to be checked
+        self.state_event = asyncio.Event()  # the state was reported on a new connection
         self.waiting: list[Leg] = []  # set-ups without a connection
-        self.releases: list[bytes] = []  # for the next connection
-        self.dead = False  # the last try failed: set-ups are not kept waiting for the next
-        self.tells = False  # it has told its state, as each new connection must then do first
-        self.gone = False
-        self.keeper = Keeper(self)
-        owner.spawn(self.keeper.run())
+        self.releases: list[bytes] = []  # sent on the next connection
+        self.unreachable = False  # the last connect attempt failed: set-ups do not wait for the next one
+        self.reports_state = False  # the server has reported its state, and must do so on each new connection
+        self.removed = False
+        self.manager = ConnectionManager(self)
+        context.spawn(self.manager.run())
 
-    # -- asked by the client ------------------------------------------------------------------
+    # -- called by the desk client ------------------------------------------------------------
 
-    def usable(self) -> Connection | None:
-        """The connection for what is new."""
-        return next((one for one in reversed(self.open) if not one.over()), None)
+    def usable_connection(self) -> Connection | None:
+        """Return the connection for new messages."""
+        return next((one for one in reversed(self.connections) if not one.has_ended()), None)
 
     def set_up(self, leg: Leg) -> None:
-        """Send a set-up, keep it until a connection is there, or end it where none comes up."""
+        """Send a set-up, queue it until there is a connection, or end it if the server is unreachable."""
         self.legs.add(leg)
-        usable = self.usable()
-        if usable and not (self.dead and leg.sent - usable.last_read > QUIET):
+        usable = self.usable_connection()
+        if usable and not (self.unreachable and leg.sent_at - usable.last_read > CALL_SILENCE):
             self._invite(leg, usable)
-        elif self.dead:
+        elif self.unreachable:
             self.legs.end(leg, Outcome(Status.CONNECT_FAILED))
         else:
             self.waiting.append(leg)
-            self.wanted.set()
+            self.wakeup.set()
 
     def release(self, attempt: Attempt, cause: int) -> None:
         """Send a release, now or on the next connection."""
         data = bye(attempt, cause).encode()
-        connection = self.usable()
+        connection = self.usable_connection()
         if connection is None or not connection.send(data):
             self.releases.append(data)
-            self.wanted.set()
+            self.wakeup.set()
 
-    def free_idle(self, reason: CloseReason) -> None:
-        """Close the connections but the newest that carry no set-up, and no message that is half read or unread.
+    def close_idle(self, reason: CloseReason) -> None:
+        """Close the connections but the newest that carry no set-up and no partly received or unread message.
 
-        A release is sent once: one that was broken off here was lost.
+        A release is sent only once, so one that is interrupted here would be lost.
         """
-        for connection in self.open[:-1]:
-            if not self.legs.unanswered(connection) and connection.quiet(0.0):
+        for connection in self.connections[:-1]:
+            if not self.legs.unanswered(connection) and connection.is_idle(0.0):
                 connection.close(reason)
 
     def drop(self) -> None:
-        """The server is gone from the list, or another machine has its name: all it had is cut."""
-        self.gone = True
-        self.wanted.set()
+        """Cut all calls: the server was removed from the list, or another host has its name now."""
+        self.removed = True
+        self.wakeup.set()
         self.fail_waiting()
-        for leg in self.legs.at(self.desk.ident):
-            if leg.stands:
-                self.release(leg.attempt, CUT)  # it may still live, and hold a line
-            self.legs.end(leg, Outcome(Status.RESET, cause=CUT))
-        for connection in self.open[:]:
+        for leg in self.legs.at_server(self.desk.ident):
+            if leg.established:
+                self.release(leg.attempt, CAUSE_CUT)  # the server may be alive and hold a line for the call
+            self.legs.end(leg, Outcome(Status.RESET, cause=CAUSE_CUT))
+        for connection in self.connections[:]:
             connection.flush_and_close(CloseReason.REPLACED)
 
     def fail_waiting(self) -> None:
-        """Set-ups that wait for a connection end as never run."""
+        """End the set-ups that wait for a connection; they never ran."""
         waiting, self.waiting = self.waiting, []
         for leg in waiting:
             self.legs.end(leg, Outcome(Status.CONNECT_FAILED))
 
-    def cut_standing(self) -> None:
-        """The server's process has ended: the calls that stood there are over."""
-        for leg in self.legs.standing(self.desk.ident):
-            self.legs.end(leg, Outcome(Status.RESET, cause=CUT))
+    def cut_established(self) -> None:
+        """End the established calls, because the server's process has ended."""
+        for leg in self.legs.established(self.desk.ident):
+            self.legs.end(leg, Outcome(Status.RESET, cause=CAUSE_CUT))
 
-    def state_told(self, connection: Connection) -> None:
-        """The server told its state on a connection."""
-        self.tells = True
-        if connection not in self.open and not self.gone:
+    def state_reported(self, connection: Connection) -> None:
+        """Record that the server has reported its state on a connection."""
+        self.reports_state = True
+        if connection not in self.connections and not self.removed:
             self.opened(connection)
-            self.told.set()
-        elif len(self.open) > 1:
+            self.state_event.set()
+        elif len(self.connections) > 1:
             loop = asyncio.get_running_loop()
-            loop.call_later(DEAF, self._close_deaf, loop.time())
+            loop.call_later(STATE_SPREAD, self._close_stalled, loop.time())
 
-    # -- what the reader says -----------------------------------------------------------------
+    # -- called by the reader (ReaderOwner) ---------------------------------------------------
 
     def received(self, connection: Connection, message: Message) -> None:
-        """A whole message came."""
-        self.owner.message(self, connection, message)
+        """Handle a complete message."""
+        self.context.on_message(self, connection, message)
 
     def salvaged(self, message: Message) -> None:
-        """A release was found in bytes that can't be framed."""
-        self.owner.salvaged(self, message)
+        """Handle a release found in unframed data."""
+        self.context.on_salvaged(self, message)
 
-    def has_standing(self) -> bool:
-        """Do calls stand at the server?"""
-        return bool(self.legs.standing(self.desk.ident))
+    def has_established(self) -> bool:
+        """Whether the server has established calls."""
+        return bool(self.legs.established(self.desk.ident))
 
     def lost(self, connection: Connection) -> None:
-        """Set-ups that had no answer on a connection end with it."""
-        if connection in self.open:
-            self.open.remove(connection)
-        if not self.owner.closing:
+        """Remove a connection and end its unanswered set-ups."""
+        if connection in self.connections:
+            self.connections.remove(connection)
+        if not self.context.closing:
             for leg in self.legs.unanswered(connection):
                 self.legs.end(leg, Outcome(Status.RESET))
-            self.wanted.set()
+            self.wakeup.set()
 
     # -- connections --------------------------------------------------------------------------
 
     def opened(self, connection: Connection) -> None:
-        """A connection carries what is new from now on, and first what has waited for one."""
-        self.open.append(connection)
-        self.keeper.lost_at, self.dead = None, False
-        self.free_idle(CloseReason.SILENT)
+        """Use a connection for new messages, and send first what waited for one."""
+        self.connections.append(connection)
+        self.manager.unreachable_since, self.unreachable = None, False
+        self.close_idle(CloseReason.SILENT)
         for data in self.releases:
             connection.send(data)
         self.releases.clear()
@@ -166,15 +166,17 @@
             self._invite(leg, connection)
 
     def _invite(self, leg: Leg, connection: Connection) -> None:
-        leg.connection, leg.sent = connection, asyncio.get_running_loop().time()
-        if not connection.send(invite(leg.attempt).encode(), self.owner.relayed):
+        leg.connection, leg.sent_at = connection, asyncio.get_running_loop().time()
+        if not connection.send(invite(leg.attempt).encode(), self.context.on_relayed):
             self.legs.end(leg, Outcome(Status.RESET))
 
-    def _close_deaf(self, told: float) -> None:
-        """The server told its state at `told`: a connection that this did not come on is of no use any more.
+    def _close_stalled(self, reported_at: float) -> None:
+        """Close the connections on which the state update of `reported_at` (loop time in seconds) did not arrive.
 
-        Guards the set-ups on it, which would wait for their time-outs while the server answers on another one.
+        Their set-ups would otherwise wait for their timeouts while the server answers on another connection.
         """
-        for connection in self.open[:]:
-            if connection.last_read < told - DEAF and not (connection.in_use() or connection.has_unread_data()):
+        for connection in self.connections[:]:
+            if connection.last_read < reported_at - STATE_SPREAD and not (
+                connection.in_use() or connection.has_unread_data()
+            ):
                 connection.close(CloseReason.SILENT)
--- a/seamlb/desks/platform.py
+++ b/seamlb/desks/platform.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Sequence
 
 from seamlb.desks.legs import Key, Leg
-from seamlb.desks.link import CUT, Link, LinkOwner
-from seamlb.desks.requests import named, reason, request
+from seamlb.desks.link import CAUSE_CUT, Link, LinkContext
+from seamlb.desks.requests import call_request, reason_header, request
 from seamlb.net.connection import Connection
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.report import NOTES, parse_report
@@ -15,31 +15,32 @@
 from seamlb.routing.model import Answer, Attempt, Availability, Desk, Heard, Outcome, Status
 
 STATUSES = {503: Status.FULL, 486: Status.ERROR, 500: Status.ERROR, 480: Status.NOT_RUN, 504: Status.RESET}
-NORMAL = 16  # Q.850 cause of a call that was released
+CAUSE_NORMAL = 16  # Q.850: normal call clearing
 
 
 class PlatformDesks:
-    """Carries attempts to servers at the addresses that the list gives."""
+    """Sends attempts to the servers of the list."""
 
     def __init__(
         self,
         fields: Sequence[str],
         connect_timeout: float,
-        sampled: Callable[[str, tuple[float, ...]], None],
-        stray: Callable[[str, int, Callable[[], object]], None],
-        relayed: Callable[[], None] = lambda: None,
+        on_report: Callable[[str, tuple[float, ...]], None],
+        on_unknown_release: Callable[[str, int, Callable[[], object]], None],
+        on_relayed: Callable[[], None] = lambda: None,
     ) -> None:
         self.fields = fields
-        self.sampled = sampled
-        self.stray = stray  # the release of a call that this process never knew; to be called back once it is told
-        self.context = LinkOwner(connect_timeout, relayed, self._message, self._salvaged)
+        self.on_report = on_report
+        # Gets the releases of calls that this process never had, and calls back after each was sent to a caller.
+        self.on_unknown_release = on_unknown_release
+        self.context = LinkContext(connect_timeout, on_relayed, self._message, self._salvaged)
         self.legs, self.tasks = self.context.legs, self.context.tasks
         self.links: dict[str, Link] = {}
 
-    # -- asked by the core --------------------------------------------------------------------
+    # -- called by the core -------------------------------------------------------------------
 
     def listed(self, desk: Desk) -> None:
-        """Keep a connection to each listed server: the state of its group comes on it."""
+        """Keep a connection to each listed server, on which it reports the state of its group."""
         link = self.links.get(desk.ident)
         if link is not None and (link.desk.address != desk.address or desk.availability == Availability.GONE):
             del self.links[desk.ident]
@@ -50,66 +51,66 @@
         if link is None:
             link = self.links[desk.ident] = Link(desk, self.context)
         elif desk.since_ms != link.desk.since_ms:
-            link.cut_standing()  # its process is a new one: what stood at the old one is cut
+            link.cut_established()  # the server's process was restarted, which cut its calls
         link.desk = desk
         if desk.availability != Availability.READY:
-            link.fail_waiting()  # a connection that comes up late must not carry them to a server that drains
+            link.fail_waiting()  # a connection that opens late must not carry set-ups to a draining server
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
-        """Start an attempt; `heard` is told at most an Answer and then exactly one Outcome."""
+    def set_up(self, attempt: Attempt, notify: Heard) -> None:
+        """Start an attempt; `notify` gets at most one Answer and then exactly one Outcome."""
         if link := self.links.get(attempt.desk):
-            link.set_up(Leg(attempt, heard, sent=asyncio.get_running_loop().time()))
+            link.set_up(Leg(attempt, notify, sent_at=asyncio.get_running_loop().time()))
         else:
-            heard(attempt.leg, Outcome(Status.CONNECT_FAILED))
+            notify(attempt.leg, Outcome(Status.CONNECT_FAILED))
 
     def give_up(self, attempt: Attempt) -> None:
-        """Call an attempt off; nothing more is told of it."""
-        leg = self.legs.take_off(_key(attempt))
+        """Cancel an attempt, without further notification."""
+        leg = self.legs.remove(_attempt_key(attempt))
         link = self.links.get(attempt.desk)
         if leg and leg.connection:
             leg.connection.send(request("CANCEL", attempt).encode())
         elif leg and link and leg in link.waiting:
             link.waiting.remove(leg)
         if link:
-            link.wanted.set()
+            link.wakeup.set()
 
     def release(self, attempt: Attempt, cause: int) -> None:
-        """End a call that stands; nothing more is told of it."""
-        if self.legs.take_off(_key(attempt)) is None:
+        """Release an established call, without further notification."""
+        if self.legs.remove(_attempt_key(attempt)) is None:
             return
         if link := self.links.get(attempt.desk):
             link.release(attempt, cause)
 
     def free(self, desk: str) -> None:
-        """Close idle connections."""
+        """Close idle connections to a desk."""
         if link := self.links.get(desk):
-            link.free_idle(CloseReason.IDLE)
+            link.close_idle(CloseReason.IDLE)
 
     async def wait_for_states(self) -> None:
-        """Wait until each listed server has told its state or turned out to be out of reach."""
-        while not all(link.tells or link.dead for link in self.links.values()):
+        """Wait until each listed server has reported its state or is unreachable."""
+        while not all(link.reports_state or link.unreachable for link in self.links.values()):
             await asyncio.sleep(0.02)
 
     def has_unread_data(self) -> bool:
-        """Has a server sent bytes that were not read yet? A release may be among them, and is sent once."""
-        return any(connection.has_unread_data() for link in self.links.values() for connection in link.open)
+        """Whether data from a server is unread: it may contain a release, which is sent only once."""
+        return any(connection.has_unread_data() for link in self.links.values() for connection in link.connections)
 
     def close(self) -> None:
-        """End all connections; may be called again."""
+        """Close all connections; may be called again."""
         self.context.closing = True
         for link in list(self.links.values()):
-            for connection in link.open[:]:
+            for connection in link.connections[:]:
                 connection.flush_and_close(CloseReason.SHUTDOWN)
         for task in self.tasks:
             task.cancel()
 
     # -- messages -----------------------------------------------------------------------------
 
-    def _key_at(self, link: Link, ident: str) -> Key:
-        """The leg of this call that what came on a link's connection is about.
+    def _leg_key(self, link: Link, ident: str) -> Key:
+        """Return the key of the leg that a message with this Call-ID, received on a connection of `link`, is for.
 
-        Where a new server has the address of one whose end we have not been told of, the old one's link has come up
-        to the new process, which may send there what concerns its calls.
+        If a new server has the address of one that is still listed, because the list is late, the old server's link
+        has connected to the new process, which may send messages about its own calls there.
         """
         key = (link.desk.ident, ident)
         if self.legs.known(key):
@@ -119,70 +120,70 @@
 
     def _message(self, link: Link, connection: Connection, message: Message) -> None:
         if message.method == "NOTIFY":
-            link.state_told(connection)
+            link.state_reported(connection)
             if report := self._report(message):
-                self.sampled(link.desk.ident, report)
+                self.on_report(link.desk.ident, report)
         elif message.method == "OPTIONS":
             connection.send(response(message, 200).encode())
         elif message.method == "BYE":
             self._released(
-                self._key_at(link, message.get("call-id")),
+                self._leg_key(link, message.get("call-id")),
                 message,
                 lambda: connection.send(response(message, 200).encode()),
             )
         elif message.status >= 200 and message.cseq()[1] == "INVITE":
-            self._final(link, connection, message)
+            self._final_answer(link, connection, message)
 
-    def _final(self, link: Link, connection: Connection, message: Message) -> None:
-        """A final answer to a set-up.
+    def _final_answer(self, link: Link, connection: Connection, message: Message) -> None:
+        """Handle a final answer to a set-up.
 
-        A server answers by Call-ID and method alone: the number in CSeq is its own. Matching by it had every answer
-        to a second attempt taken down as one that crossed our CANCEL.
+        It is matched by Call-ID and method only, because a server puts a number of its own into CSeq. When the number
+        was matched too, every answer to a second attempt was released as if it had crossed a CANCEL.
         """
         ident = message.get("call-id")
-        key = self._key_at(link, ident)
+        key = self._leg_key(link, ident)
         if not self.legs.known(key):
-            return  # an id that this process never had there: more than belongs to us
+            return  # this process never had a leg with this Call-ID there
         leg = self.legs.get(key)
-        connection.send(named("ACK", ident, "call").encode())
+        connection.send(call_request("ACK", ident, "call").encode())
         if message.status < 300:
             self._answered(connection, ident, leg, message)
-        elif leg and not leg.stands:
+        elif leg and not leg.established:
             status, note = STATUSES.get(message.status, Status.ERROR), NOTES.get(message.get("x-diagnosis"), 0)
             self.legs.end(leg, Outcome(status, note, self._report(message)))
 
     def _answered(self, connection: Connection, ident: str, leg: Leg | None, message: Message) -> None:
         if leg is None:
-            # The answer crossed our CANCEL: nobody waits for it, so it is taken down, never passed on.
-            connection.send(named("BYE", ident, "call", reason(NORMAL)).encode())
-        elif not leg.stands:
-            leg.stands = True
-            leg.heard(leg.attempt.leg, Answer(message.body))
+            # The answer crossed the CANCEL: nobody waits for it, so its call is released.
+            connection.send(call_request("BYE", ident, "call", reason_header(CAUSE_NORMAL)).encode())
+        elif not leg.established:
+            leg.established = True
+            leg.notify(leg.attempt.leg, Answer(message.body))
 
     def _released(self, key: Key, message: Message, confirm: Callable[[], object]) -> None:
-        told = parameter(message.get("reason"), "cause")
-        cause = int(told) if told.isdigit() else CUT
+        value = parameter(message.get("reason"), "cause")
+        cause = int(value) if value.isdigit() else CAUSE_CUT
         if not self.legs.known(key):
-            # A call that stood before this process started. Confirmed once its client has heard of its end: until
-            # then it is the server's to tell, as this process may end before it has a client at all.
-            return self.stray(key[1], cause, confirm)
+            # A call from before this process started. The release is confirmed only after it was sent to a caller:
+            # this process may end before it has a caller, and the server must then send the release again.
+            return self.on_unknown_release(key[1], cause, confirm)
         confirm()
         if leg := self.legs.get(key):
-            # Before its answer too: the call stood there and has come to its end, only its answer is late or lost.
-            status = Status.OK if cause == NORMAL else Status.RESET
+            # Also before the answer: the call was established there and has ended, and its answer is late or lost.
+            status = Status.OK if cause == CAUSE_NORMAL else Status.RESET
             self.legs.end(leg, Outcome(status, 0, self._report(message), cause))
 
     def _salvaged(self, link: Link, message: Message) -> None:
-        """A release out of bytes that can't be framed counts for a call that stands."""
+        """Accept a release from unframed data for an established call."""
         key = (link.desk.ident, message.get("call-id"))
-        if (leg := self.legs.get(key)) and leg.stands:
-            if not message.get("reason"):  # cut off before it
-                message.headers.append(reason(NORMAL))
+        if (leg := self.legs.get(key)) and leg.established:
+            if not message.get("reason"):  # cut off before the Reason header
+                message.headers.append(reason_header(CAUSE_NORMAL))
             self._released(key, message, lambda: None)
 
     def _report(self, message: Message) -> tuple[float, ...]:
         return parse_report(message.get("x-occupancy"), self.fields)
 
 
-def _key(attempt: Attempt) -> Key:
+def _attempt_key(attempt: Attempt) -> Key:
     return attempt.desk, attempt.request.ident
--- a/seamlb/desks/reader.py
+++ b/seamlb/desks/reader.py
@@ -1,4 +1,4 @@
-"""Reads what a server sends on one connection, and saves releases out of one that can't be read any more."""
+"""Reads the messages of a server on one connection, and recovers releases from data that can no longer be framed."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Framer, Message, SipError, releases
 
-PART_WITHIN = 0.25  # seconds for the rest of a message: an answer that stops short makes its connection useless
-SALVAGE = 0.25  # seconds for releases that were on their way when a connection of no use was given up
+PARTIAL_MESSAGE_TIMEOUT = 0.25  # seconds; after a truncated answer the connection is unusable
+SALVAGE_TIME = 0.25  # seconds in which releases are still read from an abandoned connection
 SALVAGE_BYTES = 64 * 1024
 
 
 class ReaderOwner(Protocol):
-    """What the server's link does with what is read."""
+    """Receives the messages and events of a reader."""
 
     def received(self, connection: Connection, message: Message) -> None:
-        """A whole message came."""
+        """Handle a complete message."""
 
     def salvaged(self, message: Message) -> None:
-        """The release of a call, perhaps cut off behind its id, out of bytes that can't be framed."""
+        """Handle the release of a call found in unframed data; it may be cut off after its Call-ID."""
 
-    def has_standing(self) -> bool:
-        """Do calls stand at the server, whose releases may yet come?"""
+    def has_established(self) -> bool:
+        """Whether the server has established calls, whose releases may still arrive."""
 
     def lost(self, connection: Connection) -> None:
-        """The connection carries no set-up any more."""
+        """Handle a connection that can no longer carry set-ups."""
 
 
 class ServerReader:
@@ -36,10 +36,10 @@
     def __init__(self, owner: ReaderOwner, connection: Connection) -> None:
         self.owner, self.connection = owner, connection
         self.framer = Framer(whole=True)
-        self.residue = bytearray()  # what came once the connection could not be read any more
-        connection.message_within, connection.linger = PART_WITHIN, SALVAGE
-        connection.late = self._stopped_short
-        connection.in_use = lambda: bool(self.framer.data)  # a message is half read
+        self.residual = bytearray()  # data received after the framing was lost
+        connection.message_timeout, connection.linger_time = PARTIAL_MESSAGE_TIMEOUT, SALVAGE_TIME
+        connection.on_message_timeout = self._message_timed_out
+        connection.in_use = lambda: bool(self.framer.data)  # a message is partly read
 
     async def run(self) -> None:
         """Read until the connection ends."""
@@ -49,35 +49,35 @@
             self.owner.lost(self.connection)
 
     def _received(self, data: bytes) -> None:
-        whole = self.framer.take(data, self._message, self._malformed)
-        self.connection.messages_read(whole, bool(self.framer.data))
+        messages = self.framer.take(data, self._message, self._malformed)
+        self.connection.messages_read(messages, bool(self.framer.data))
 
     def _message(self, message: Message) -> None:
         if not self.connection.closed:
             self.owner.received(self.connection, message)
 
     def _malformed(self, error: SipError) -> None:
-        # After one answer that can't be read none can be trusted: the set-ups on it end now, not by time-out.
+        # After one malformed answer none can be trusted: its set-ups end now, not when they time out.
         log.event("malformed", kind="desk", peer=self.connection.peer, error=str(error))
-        self._leave(CloseReason.MALFORMED, self.framer.left)
+        self._abandon(CloseReason.MALFORMED, self.framer.left)
 
-    def _stopped_short(self) -> None:
-        self._leave(CloseReason.SLOW, bytes(self.framer.data))
+    def _message_timed_out(self) -> None:
+        self._abandon(CloseReason.SLOW, bytes(self.framer.data))
 
-    def _leave(self, reason: CloseReason, left: bytes) -> None:
-        """The connection is of no use any more; what stands there may yet be released on it."""
-        if self.owner.has_standing():
-            self.connection.residue = self._salvage
+    def _abandon(self, reason: CloseReason, unread: bytes) -> None:
+        """Stop using the connection, but keep reading releases while the server has established calls."""
+        if self.owner.has_established():
+            self.connection.on_residual_data = self._salvage
             self.connection.lingering_close(reason)
             self.owner.lost(self.connection)
-            self._salvage(left)
+            self._salvage(unread)
         else:
             self.connection.close(reason)
 
     def _salvage(self, data: bytes) -> None:
-        """Releases of calls that stand, in bytes that can't be framed: the server sends them once only."""
-        self.residue.extend(data)
-        for message in releases(bytes(self.residue)):
+        """Find releases of established calls in unframed data: the server sends each release only once."""
+        self.residual.extend(data)
+        for message in releases(bytes(self.residual)):
             self.owner.salvaged(message)
-        if len(self.residue) > SALVAGE_BYTES:
-            self.connection.close(self.connection.ending or CloseReason.MALFORMED)
+        if len(self.residual) > SALVAGE_BYTES:
+            self.connection.close(self.connection.linger_reason or CloseReason.MALFORMED)
--- a/seamlb/desks/requests.py
+++ b/seamlb/desks/requests.py
@@ -1,4 +1,4 @@
-"""Requests to servers in the platform's SIP dialect."""
+"""Builds requests to servers in the platform's SIP dialect."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from seamlb.routing.model import Attempt
 
 
-def named(method: str, ident: str, number: str, *extra: tuple[str, str], body: bytes = b"") -> Message:
-    """A request of a call by its id and the number called."""
+def call_request(method: str, ident: str, number: str, *extra: tuple[str, str], body: bytes = b"") -> Message:
+    """Build a request of a call from its Call-ID and the number called."""
     sequence = 2 if method == "BYE" else 1
     headers = [
         ("Via", f"SIP/2.0/TCP seamlb;branch=z9hG4bK{ident}-{sequence}"),
@@ -19,22 +19,22 @@
 
 
 def request(method: str, attempt: Attempt, *extra: tuple[str, str], body: bytes = b"") -> Message:
-    """A request of an attempt."""
-    return named(method, attempt.request.ident, attempt.request.number, *extra, body=body)
+    """Build a request of an attempt."""
+    return call_request(method, attempt.request.ident, attempt.request.number, *extra, body=body)
 
 
 def invite(attempt: Attempt) -> Message:
-    """The set-up of an attempt."""
-    waited = max(1, int(attempt.within_ms))
-    headers = ("X-Cos", attempt.request.class_name), ("X-Timer-Ms", str(waited))
+    """Build the set-up of an attempt."""
+    timer = max(1, int(attempt.within_ms))
+    headers = ("X-Cos", attempt.request.class_name), ("X-Timer-Ms", str(timer))
     return request("INVITE", attempt, *headers, body=attempt.request.description)
 
 
 def bye(attempt: Attempt, cause: int) -> Message:
-    """The release of an attempt's call."""
-    return request("BYE", attempt, reason(cause))
+    """Build the release of an attempt's call."""
+    return request("BYE", attempt, reason_header(cause))
 
 
-def reason(cause: int) -> tuple[str, str]:
-    """The header with a Q.850 cause."""
+def reason_header(cause: int) -> tuple[str, str]:
+    """Build the Reason header with a Q.850 cause."""
     return "Reason", f"Q.850;cause={cause}"
--- a/seamlb/desks/sip.py
+++ b/seamlb/desks/sip.py
@@ -22,38 +22,38 @@
     503: Status.FULL,
     504: Status.RESET,
 }
-BROKEN = {"connect": Status.CONNECT_FAILED, "lost": Status.RESET, "timeout": Status.TIMEOUT}
+FAILURE_STATUSES = {"connect": Status.CONNECT_FAILED, "lost": Status.RESET, "timeout": Status.TIMEOUT}
 ALLOWED = ("ACK", "BYE", "OPTIONS")
-CUT, NORMAL = 41, 16
-UDP_MOST = 1300  # bytes; a larger request goes by TCP (18.1.1)
+CAUSE_CUT, CAUSE_NORMAL = 41, 16  # Q.850: temporary failure, normal call clearing
+MAX_UDP_REQUEST = 1300  # bytes; larger requests are sent over TCP (18.1.1)
 
 
 @dataclass(slots=True, eq=False)
 class Leg:
-    """An INVITE of ours, then its dialog."""
+    """An INVITE sent to a desk, then its dialog."""
 
     attempt: Attempt
-    heard: Heard
+    notify: Heard
     invite: Message
     target: Target
     entry: Entry | None = None
-    rung: bool = False  # a provisional answer came: a CANCEL may go (9.1)
-    wanted: bool = True
+    provisional: bool = False  # a provisional response was received: a CANCEL may be sent (9.1)
+    wanted: bool = True  # False: cancelled, released or reported as ended
     dialog: Dialog | None = None
 
 
 class SipDesks:
-    """Carries attempts to desks that speak SIP."""
+    """Sends attempts to desks that speak SIP."""
 
     def __init__(
         self,
         endpoint: SipEndpoint,
         transport: str,
         fields: Sequence[str],
-        relayed: Callable[[], None] = lambda: None,
+        on_relayed: Callable[[], None] = lambda: None,
     ) -> None:
         self.endpoint = endpoint
-        self.relayed = relayed  # an attempt has left whole
+        self.on_relayed = on_relayed  # called when the last byte of a set-up is written
         self.transport = transport
         self.fields = fields
         self.desks: dict[str, Desk] = {}
@@ -61,59 +61,59 @@
         self.dialogs: dict[tuple[str, str, str], Leg] = {}
         endpoint.on_request = self._request
 
-    # -- asked by the core --------------------------------------------------------------------
+    # -- called by the core -------------------------------------------------------------------
 
     def listed(self, desk: Desk) -> None:
-        """A server is new, has changed or is gone."""
+        """Update a desk of the list, and cut the calls of one that was removed, restarted or has moved."""
         old = self.desks.pop(desk.ident, None)
         if desk.availability != Availability.GONE:
             self.desks[desk.ident] = desk
         changed = old and (desk.availability == Availability.GONE or old.since_ms != desk.since_ms)
         if changed or (old and old.address != desk.address):
             for key, leg in list(self.legs.items()):
-                if key[0] == desk.ident:  # the machine, or its process, is another one now
-                    self._drop(leg)
-                    leg.heard(leg.attempt.leg, Outcome(Status.RESET, cause=CUT))
+                if key[0] == desk.ident:  # another host or process has taken its place
+                    self._remove(leg)
+                    leg.notify(leg.attempt.leg, Outcome(Status.RESET, cause=CAUSE_CUT))
 
-    def set_up(self, attempt: Attempt, heard: Heard) -> None:
-        """Start an attempt; `heard` is told at most an Answer and then exactly one Outcome."""
+    def set_up(self, attempt: Attempt, notify: Heard) -> None:
+        """Start an attempt; `notify` gets at most one Answer and then exactly one Outcome."""
         desk = self.desks.get(attempt.desk)
         if desk is None:
-            return heard(attempt.leg, Outcome(Status.CONNECT_FAILED))
+            return notify(attempt.leg, Outcome(Status.CONNECT_FAILED))
         request = attempt.request
         target = Target(self.transport, split_address(desk.address))
         message = self._invite(attempt, target, desk)
-        if len(message.encode()) > UDP_MOST and "TCP" in self.endpoint.addresses and target.transport == "UDP":
+        if len(message.encode()) > MAX_UDP_REQUEST and "TCP" in self.endpoint.addresses and target.transport == "UDP":
             target = Target("TCP", target.address)
             message = self._invite(attempt, target, desk)
-        leg = Leg(attempt, heard, message, target)
+        leg = Leg(attempt, notify, message, target)
         self.legs[attempt.desk, request.ident] = leg
         leg.entry = self.endpoint.request(
             message,
             target,
-            lambda answer: self._answer(leg, answer),
-            lambda how: self._broken(leg, how),
-            self.relayed,
+            lambda answer: self._handle_response(leg, answer),
+            lambda how: self._transaction_failed(leg, how),
+            self.on_relayed,
         )
 
     def give_up(self, attempt: Attempt) -> None:
-        """Call an attempt off; nothing more is told of it."""
+        """Cancel an attempt, without further notification."""
         leg = self.legs.pop((attempt.desk, attempt.request.ident), None)
         if leg:
             leg.wanted = False
-            if leg.rung:
+            if leg.provisional:
                 self._cancel(leg)
 
     def release(self, attempt: Attempt, cause: int) -> None:
-        """End a call that stands; nothing more is told of it."""
+        """Release an established call, without further notification."""
         leg = self.legs.get((attempt.desk, attempt.request.ident))
         if leg:
-            self._drop(leg)
+            self._remove(leg)
             if leg.dialog:
                 self._bye(leg, leg.dialog, cause)
 
     def free(self, desk: str) -> None:
-        """Idle connections close by themselves here."""
+        """Do nothing: the endpoint closes idle connections by itself."""
 
     def close(self) -> None:
         """Close the sockets."""
@@ -140,23 +140,23 @@
         return Message("INVITE", uri, headers=headers, body=request.description)
 
     def _cancel(self, leg: Leg) -> None:
-        """Copies what 9.1 wants of the INVITE, its one Via above all."""
+        """Send a CANCEL with the headers that 9.1 copies from the INVITE, above all its single Via."""
         copied = [(n, v) for n, v in leg.invite.headers if n in ("Via", "Max-Forwards", "From", "To", "Call-ID")]
         message = Message("CANCEL", leg.invite.uri, headers=[*copied, ("CSeq", "1 CANCEL")])
         self.endpoint.request(message, leg.target, lambda answer: None, lambda how: None)
         if leg.entry:
             self.endpoint.cancelled(leg.entry)
 
-    def _answer(self, leg: Leg, message: Message) -> None:
+    def _handle_response(self, leg: Leg, message: Message) -> None:
         if message.status < 200:
-            if not leg.rung and not leg.wanted:
+            if not leg.provisional and not leg.wanted:
                 self._cancel(leg)
-            leg.rung = True
+            leg.provisional = True
         elif message.status < 300:
-            self._stands(leg, message)
+            self._established(leg, message)
         elif leg.wanted and leg.dialog is None:
-            self._drop(leg)
-            leg.heard(
+            self._remove(leg)
+            leg.notify(
                 leg.attempt.leg,
                 Outcome(
                     STATUSES.get(message.status, Status.ERROR),
@@ -165,28 +165,28 @@
                 ),
             )
 
-    def _stands(self, leg: Leg, message: Message) -> None:
-        """Each 2xx is acknowledged; only the first of a leg that is still wanted stands."""
+    def _established(self, leg: Leg, message: Message) -> None:
+        """Acknowledge a 2xx; only the first one of a leg that is still wanted establishes the call."""
         dialog = Dialog.of_client(leg.invite, message)
         target = self._target(leg, dialog)
         ack = dialog.request("ACK", self.endpoint.via(target.transport), seq=leg.invite.cseq()[0])
         self.endpoint.transmit(ack, target)
         if leg.dialog is not None and leg.dialog.key == dialog.key:
-            return  # the same answer again: our ACK was lost
+            return  # a retransmission: the ACK was lost
         if not leg.wanted or leg.dialog is not None:
-            # It crossed our CANCEL, or a second phone answered: taken down, never passed on.
-            self._bye(leg, dialog, NORMAL)
+            # The answer crossed the CANCEL, or a second phone answered: it is released and never passed on.
+            self._bye(leg, dialog, CAUSE_NORMAL)
             return
         leg.dialog = dialog
         self.dialogs[dialog.key] = leg
-        leg.heard(leg.attempt.leg, Answer(message.body))
+        leg.notify(leg.attempt.leg, Answer(message.body))
 
-    def _broken(self, leg: Leg, how: str) -> None:
+    def _transaction_failed(self, leg: Leg, how: str) -> None:
         if leg.wanted and leg.dialog is None:
-            self._drop(leg)
-            leg.heard(leg.attempt.leg, Outcome(BROKEN[how]))
+            self._remove(leg)
+            leg.notify(leg.attempt.leg, Outcome(FAILURE_STATUSES[how]))
 
-    def _drop(self, leg: Leg) -> None:
+    def _remove(self, leg: Leg) -> None:
         leg.wanted = False
         self.legs.pop((leg.attempt.desk, leg.attempt.request.ident), None)
         if leg.dialog:
@@ -195,7 +195,7 @@
     def _target(self, leg: Leg, dialog: Dialog) -> Target:
         try:
             target = uri_target(dialog.next_hop(), leg.target.transport)
-        except ValueError:  # a name, or nothing usable: back to where the set-up went
+        except ValueError:  # a host name or no usable URI: send it to where the set-up went
             return leg.target
         return target if target.transport in self.endpoint.addresses else leg.target
 
@@ -205,7 +205,7 @@
         self.endpoint.request(bye, target, lambda answer: None, lambda how: log.event("no_bye", call=call, how=how))
 
     def _request(self, message: Message, entry: Entry, flow: Flow) -> None:
-        """Requests of desks: the release of a call above all."""
+        """Handle a request from a desk, mostly the release of a call."""
         to, sender = parameter(message.get("to"), "tag"), parameter(message.get("from"), "tag")
         leg = self.dialogs.get((message.get("call-id"), to, sender))
         if message.method not in ALLOWED:
@@ -219,13 +219,13 @@
             return self.endpoint.respond(entry, response(message, 500))
         self.endpoint.respond(entry, response(message, 200))
         if message.method == "BYE":
-            told = parameter(message.get("reason"), "cause")
-            cause = int(told) if digits(told) else NORMAL
-            self._drop(leg)
-            leg.heard(
+            value = parameter(message.get("reason"), "cause")
+            cause = int(value) if digits(value) else CAUSE_NORMAL
+            self._remove(leg)
+            leg.notify(
                 leg.attempt.leg,
                 Outcome(
-                    Status.RESET if cause == CUT else Status.OK,
+                    Status.RESET if cause == CAUSE_CUT else Status.OK,
                     0,
                     parse_report(message.get("x-occupancy"), self.fields),
                     cause,
--- a/seamlb/discovery/board.py
+++ b/seamlb/discovery/board.py
@@ -1,4 +1,4 @@
-"""The notice board: polls it without pause, and gives the core what it tells."""
+"""Client of the notice board: polls it continuously and passes changes of the desk list to the core."""
 
 from __future__ import annotations
 
@@ -15,60 +15,61 @@
 from seamlb.protocol.notices import Notice, NoticeError, parse_notices
 from seamlb.routing.model import Availability, Changed, Desk, Scope
 
-LINGER = 2.0  # seconds that the board may wait for news
-SILENCE = 1.5  # seconds beyond that before a poll counts as silent; a drain must be known within 7 s
-RETRY_FIRST, RETRY_MOST = 0.1, 0.5  # with the time to connect, under 2 s: what a break hides counts as told then
-LATE = 7.0  # seconds by which a board may be late: what it has to tell counts as told then
+POLL_WAIT = 2.0  # seconds the board may hold a poll until there is an event
+SILENCE_MARGIN = 1.5  # seconds beyond that before a poll has timed out; a drain must be known within 7 s
+RETRY_MIN, RETRY_MAX = 0.1, 0.5  # seconds; with the connect time below 2 s, when missed events count as known
+MAX_LAG = 7.0  # seconds the board may be late; its events count as known after that
 PHASES = {"Ready": Availability.READY, "Terminating": Availability.DRAINING, "Gone": Availability.GONE}
 
 
 class Board:
-    """Follows the list of desks by long polls on one connection."""
+    """Follows the list of desks with long polls on one connection."""
 
-    def __init__(self, address: str, zones: Sequence[str], changed: Changed, skip_first_wait: bool = False) -> None:
+    def __init__(self, address: str, zones: Sequence[str], on_change: Changed, skip_first_wait: bool = False) -> None:
         self.address = address
-        self.caught_up = asyncio.Event()  # the board has answered once: nothing older is unknown
-        self.skip_first_wait = skip_first_wait  # have the first answer without a wait
-        self.zones = {name: place for place, name in enumerate(zones)}
-        self.changed = changed
-        self.rev = 0
-        self.revision = 0  # the newest of the list itself that was told
-        self.behind_until = math.inf  # after its numbers went back: when it is believed though its list seems older
-        self.skipped = False  # has it told an older list since then?
-        self.told = False
-        self.moved = asyncio.Event()
+        self.caught_up = asyncio.Event()  # set after the first answer, which brings all earlier events
+        self.skip_first_wait = skip_first_wait  # the first poll is answered immediately
+        self.zones = {name: index for index, name in enumerate(zones)}
+        self.on_change = on_change
+        self.rev = 0  # the number of the latest event
+        self.revision = 0  # the newest revision of the list itself
+        self.ignore_older_until = math.inf  # loop time; set when event numbers went back
+        self.skipped = False  # an older list was ignored since then
+        self.published = False
+        self.address_changed = asyncio.Event()
 
     def apply(self, raw: Mapping[str, Any]) -> None:
-        """Take a list of notices, the configuration's or the board's; those known already are skipped.
+        """Apply events from the configuration or the board; known events are skipped.
 
-        A board whose numbers went back has begun anew, and would never tell what we wait for: it is asked for
-        everything. For as long as it may only be late, a list older than the one that we have brings no server back.
+        A board whose event numbers went back was restarted and would never send the events that the poll waits for,
+        so all events are requested again. For MAX_LAG seconds the board may just be late: until then a list older
+        than the current one is ignored, as it could bring removed servers back.
         """
         last, notices = parse_notices(raw)
         if last < self.rev:
             log.event("board_restarted", rev=self.rev, told=last)
-            self.rev, self.behind_until = 0, asyncio.get_running_loop().time() + LATE
+            self.rev, self.ignore_older_until = 0, asyncio.get_running_loop().time() + MAX_LAG
             return
         for notice in notices:
             if notice.rev > self.rev:
                 self.rev = notice.rev
-                if self.behind_until < math.inf and notice.revision < self.revision:
+                if self.ignore_older_until < math.inf and notice.revision < self.revision:
                     self.skipped = True
                     continue
                 self.revision = max(self.revision, notice.revision)
-                self._tell(notice)
+                self._publish(notice)
         self.rev = max(self.rev, last)
 
-    def _believe(self) -> None:
-        """What still tells older lists after that long has begun to count anew: it is asked for everything again."""
-        if asyncio.get_running_loop().time() < self.behind_until:
+    def _accept_older_lists(self) -> None:
+        """Request all events again if the board still sends older lists after MAX_LAG: its numbering started anew."""
+        if asyncio.get_running_loop().time() < self.ignore_older_until:
             return
-        self.behind_until = math.inf
+        self.ignore_older_until = math.inf
         if self.skipped:
             self.rev = self.revision = 0
             self.skipped = False
 
-    def _tell(self, notice: Notice) -> None:
+    def _publish(self, notice: Notice) -> None:
         desks = []
         for member in notice.members:
             if member.phase not in PHASES:
@@ -83,44 +84,44 @@
                     member.since_ms,
                 )
             )
-        first, self.told = not self.told, True
-        self.changed(Scope.CACHED if first else Scope.FULL if notice.complete else Scope.DELTA, desks)
+        first, self.published = not self.published, True
+        self.on_change(Scope.CACHED if first else Scope.FULL if notice.complete else Scope.DELTA, desks)
         log.event("list", rev=notice.rev, complete=notice.complete, desks=len(desks))
 
     def set_address(self, address: str) -> None:
-        """Follow the board at another address from now on; the numbers of the events continue."""
+        """Switch to another address of the board; the event numbers continue."""
         if address != self.address:
             self.address = address
-            self.moved.set()
+            self.address_changed.set()
 
     async def run(self) -> None:
-        """Follow the board until cancelled; a move ends the poll, the pause or the connect that is under way."""
+        """Follow the board until cancelled; a new address interrupts the current poll, pause or connect."""
         while True:
-            self.moved.clear()
-            moved = asyncio.ensure_future(self.moved.wait())
-            polling = asyncio.ensure_future(self._poll(self.address)) if self.address else moved
+            self.address_changed.clear()
+            address_changed = asyncio.ensure_future(self.address_changed.wait())
+            polling = asyncio.ensure_future(self._poll(self.address)) if self.address else address_changed
             try:
-                await asyncio.wait((polling, moved), return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait((polling, address_changed), return_when=asyncio.FIRST_COMPLETED)
                 if polling.done():
-                    polling.result()  # it ends by a fault alone, which is the daemon's to log
+                    polling.result()  # it ends only by an exception, which the daemon logs
             finally:
-                moved.cancel()
+                address_changed.cancel()
                 polling.cancel()
-                await asyncio.gather(polling, moved, return_exceptions=True)
+                await asyncio.gather(polling, address_changed, return_exceptions=True)
 
     async def _poll(self, address: str) -> None:
-        """Poll until cancelled; a connection that ends or falls silent is opened anew."""
+        """Poll until cancelled; a connection that ends or falls silent is replaced."""
         poller = Poller(address, "board")
         pause = 0.0
         try:
             while True:
                 await asyncio.sleep(pause)
-                pause = min(max(2 * pause, RETRY_FIRST), RETRY_MOST)
-                self._believe()
-                linger = 0 if self.skip_first_wait and not self.caught_up.is_set() else int(LINGER * 1000)
-                path = f"/board/poll?watch={self.rev}&linger={linger}"
+                pause = min(max(2 * pause, RETRY_MIN), RETRY_MAX)
+                self._accept_older_lists()
+                wait_ms = 0 if self.skip_first_wait and not self.caught_up.is_set() else int(POLL_WAIT * 1000)
+                path = f"/board/poll?watch={self.rev}&linger={wait_ms}"
                 try:
-                    answer = await poller.get(path, LINGER + SILENCE)
+                    answer = await poller.get(path, POLL_WAIT + SILENCE_MARGIN)
                     if answer.status != 200:
                         raise NoticeError(f"status {answer.status}")
                     self.apply(orjson.loads(answer.body))
--- a/seamlb/discovery/consul.py
+++ b/seamlb/discovery/consul.py
@@ -1,4 +1,4 @@
-"""Discovery from Consul: instances by the catalogue, their state by the health API, both by blocking queries."""
+"""Discovery with Consul: blocking queries to the catalogue for instances and to the health API for their state."""
 
 from __future__ import annotations
 
@@ -16,86 +16,86 @@
 from seamlb.net.reason import CloseReason
 from seamlb.routing.model import Availability, Changed, Desk, Scope
 
-BACK_OFF_FIRST, BACK_OFF_MOST = 0.5, 30.0
+BACK_OFF_MIN, BACK_OFF_MAX = 0.5, 30.0  # seconds
 
 
 @dataclass(slots=True, frozen=True)
 class ConsulConfig:
-    """Where Consul is, and how desks are named there."""
+    """The address of Consul, and the service and metadata keys of the desks."""
 
     address: str
     service: str
-    wait: float = 30.0  # seconds that Consul may hold a query
-    cell_key: str = "cell"  # keys of the service's Meta
+    wait: float = 30.0  # seconds Consul may hold a blocking query
+    cell_key: str = "cell"  # this and the following are keys in ServiceMeta
     zone_key: str = "zone"
     since_key: str = "up_since_ms"
 
 
 class ConsulError(Exception):
-    """An answer of Consul's that can't be used."""
+    """Consul sent an unusable response."""
 
 
 class Consul:
-    """Follows one service; an instance missing from the catalogue is gone, one not passing drains."""
+    """Follows one service; an instance missing from the catalogue is gone, one whose checks fail is draining."""
 
     def __init__(
         self,
         config: ConsulConfig,
         zones: Sequence[str],
-        changed: Changed,
+        on_change: Changed,
         seed: int,
         sleep: Callable[[float], Any] = asyncio.sleep,
     ) -> None:
         self.config = config
-        self.zones = {name: place for place, name in enumerate(zones)}
-        self.changed = changed
+        self.zones = {name: index for index, name in enumerate(zones)}
+        self.on_change = on_change
         self.rng = random.Random(seed)
         self.sleep = sleep
         self.instances: dict[str, Desk] | None = None
         self.states: dict[str, Availability] | None = None
-        self.told: tuple[Desk, ...] | None = None
+        self.published: tuple[Desk, ...] | None = None
 
     async def run(self) -> None:
-        """Follow both until cancelled."""
+        """Follow the catalogue and the health API until cancelled."""
         name = quote(self.config.service, safe="")
         async with asyncio.TaskGroup() as group:
             group.create_task(self._watch(f"/v1/catalog/service/{name}", self._catalogue))
             group.create_task(self._watch(f"/v1/health/service/{name}", self._health))
 
-    async def _watch(self, path: str, take: Callable[[Any], None]) -> None:
-        """Blocking queries on one path; errors back off, doubling, with jitter."""
+    async def _watch(self, path: str, apply: Callable[[Any], None]) -> None:
+        """Repeat blocking queries on one path; after errors the delay doubles, with jitter."""
         poller = Poller(self.config.address, "consul")
         index, failures = 0, 0
-        # Consul adds up to a sixteenth of the wait; what is silent beyond that is dead.
-        patience = self.config.wait * 17 / 16 + 2.0
+        # Consul adds up to a sixteenth of the wait time; without a response after that the connection is dead.
+        timeout = self.config.wait * 17 / 16 + 2.0
         try:
             while True:
                 try:
-                    answer = await poller.get(f"{path}?index={index}&wait={int(self.config.wait * 1000)}ms", patience)
+                    answer = await poller.get(f"{path}?index={index}&wait={int(self.config.wait * 1000)}ms", timeout)
                     if answer.status != 200:
                         raise ConsulError(f"status {answer.status}")
-                    told = answer.headers.get("x-consul-index", "")
-                    if not told.isdigit():
+                    new_index = answer.headers.get("x-consul-index", "")
+                    if not new_index.isdigit():
                         raise ConsulError("no X-Consul-Index")
-                    take(orjson.loads(answer.body))
+                    apply(orjson.loads(answer.body))
                 except (PollError, ConsulError, KeyError, TypeError, ValueError, AttributeError) as error:
                     failures += 1
                     index = 0
-                    pause = min(BACK_OFF_MOST, BACK_OFF_FIRST * 2 ** min(failures - 1, 10))
+                    pause = min(BACK_OFF_MAX, BACK_OFF_MIN * 2 ** min(failures - 1, 10))
                     log.event("consul_error", path=path, error=repr(error), failures=failures)
                     await self.sleep(pause * self.rng.uniform(0.5, 1.0))
                     continue
                 failures = 0
-                # An index that went back, or none, means a new state store: ask anew at once.
-                index = int(told) if int(told) >= index else 0
+                # An index that went back means a new state store: query again at once from index 0.
+                index = int(new_index) if int(new_index) >= index else 0
         finally:
             poller.close(CloseReason.SHUTDOWN)
 
     def _catalogue(self, raw: Any) -> None:
-        self.instances = {desk.ident: desk for desk in map(self._desk, raw)}
-        self._tell()
+        self.instances = {desk.ident: desk for desk in map(self._parse_desk, raw)}
+        self._publish()
 
-    def _desk(self, raw: Mapping[str, Any]) -> Desk:
+    def _parse_desk(self, raw: Mapping[str, Any]) -> Desk:
         meta = raw.get("ServiceMeta") or {}
         address = raw.get("ServiceAddress") or raw["Address"]
         host = f"[{address}]" if ":" in address else address
@@ -110,21 +110,21 @@
 
     def _health(self, raw: Any) -> None:
         self.states = {}
-        for one in raw:
-            passes = all(check["Status"] in ("passing", "warning") for check in one["Checks"])
-            ident = f"{one['Node']['Node']}/{one['Service']['ID']}"
+        for entry in raw:
+            passes = all(check["Status"] in ("passing", "warning") for check in entry["Checks"])
+            ident = f"{entry['Node']['Node']}/{entry['Service']['ID']}"
             self.states[ident] = Availability.READY if passes else Availability.DRAINING
-        self._tell()
+        self._publish()
 
-    def _tell(self) -> None:
-        """Give the whole list once both halves are known, and whenever it has changed."""
+    def _publish(self) -> None:
+        """Pass the whole list on once catalogue and health are both known, and whenever it has changed."""
         if self.instances is None or self.states is None:
             return
         desks = tuple(
             Desk(d.ident, d.address, d.zone, d.cell, self.states.get(ident, Availability.DRAINING), d.since_ms)
             for ident, d in sorted(self.instances.items())
         )
-        if desks != self.told:
-            first, self.told = self.told is None, desks
-            self.changed(Scope.CACHED if first else Scope.FULL, desks)
+        if desks != self.published:
+            first, self.published = self.published is None, desks
+            self.on_change(Scope.CACHED if first else Scope.FULL, desks)
             log.event("list", source="consul", desks=len(desks))
--- a/seamlb/discovery/poller.py
+++ b/seamlb/discovery/poller.py
@@ -1,4 +1,4 @@
-"""One GET at a time on one kept connection: what both kinds of discovery poll with."""
+"""HTTP client with one persistent connection and one GET at a time, used for long polls of the board and Consul."""
 
 from __future__ import annotations
 
@@ -9,64 +9,64 @@
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.http import HttpError, Response, ResponseReader, get
 
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT = 1.0  # seconds
 
 
 class PollError(Exception):
-    """No usable answer; the connection's log line tells more."""
+    """There was no usable response; the log event of the connection has the reason."""
 
 
 class Poller:
-    """Keeps a connection to one address, and opens it anew when a poll needs it."""
+    """Keeps a connection to one address and reopens it when a poll needs it."""
 
     def __init__(self, address: str, kind: str) -> None:
         self.address = address
         self.kind = kind
         self.connection: Connection | None = None
         self.reading: asyncio.Task[CloseReason] | None = None
-        self.answers: asyncio.Queue[Response] = asyncio.Queue()
+        self.responses: asyncio.Queue[Response] = asyncio.Queue()
 
     async def get(self, path: str, timeout: float) -> Response:
-        """The answer to a GET; PollError if none comes within `timeout` seconds."""
+        """Return the response to a GET; raises PollError if there is none within `timeout` seconds."""
         if self.connection is None or self.reading is None or self.connection.closed:
             try:
                 self.connection = await connect(self.address, self.kind, CONNECT_TIMEOUT)
-            except ConnectError as failed:
-                raise PollError(str(failed)) from None
-            self.answers = asyncio.Queue()
-            self.reading = asyncio.get_running_loop().create_task(self._read(self.connection, self.answers))
+            except ConnectError as error:
+                raise PollError(str(error)) from None
+            self.responses = asyncio.Queue()
+            self.reading = asyncio.get_running_loop().create_task(self._read(self.connection, self.responses))
         connection = self.connection
         connection.send(get(path, self.address))
-        taking = asyncio.get_running_loop().create_task(self.answers.get())
+        next_response = asyncio.get_running_loop().create_task(self.responses.get())
         try:
-            await asyncio.wait((taking, self.reading), timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
-            if not taking.done():
-                await asyncio.sleep(0)  # an answer and the end of its connection may come together
-            if not taking.done():
+            await asyncio.wait((next_response, self.reading), timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
+            if not next_response.done():
+                await asyncio.sleep(0)  # a response and the end of its connection may arrive together
+            if not next_response.done():
                 connection.close(CloseReason.SILENT)
                 raise PollError(str(connection.reason))
-            answer = taking.result()
+            response = next_response.result()
         finally:
-            taking.cancel()
-        if not answer.keeps:
+            next_response.cancel()
+        if not response.keeps:
             connection.close(CloseReason.PEER_CLOSED)
-        return answer
+        return response
 
-    async def _read(self, connection: Connection, answers: asyncio.Queue[Response]) -> CloseReason:
+    async def _read(self, connection: Connection, responses: asyncio.Queue[Response]) -> CloseReason:
         reader = ResponseReader()
 
         def received(data: bytes) -> None:
             try:
-                answer = reader.feed(data)
-                while answer:
-                    answers.put_nowait(answer)
-                    answer = reader.feed(b"")
+                response = reader.feed(data)
+                while response:
+                    responses.put_nowait(response)
+                    response = reader.feed(b"")
             except HttpError:
                 connection.close(CloseReason.MALFORMED)
 
         return await connection.run(received)
 
     def close(self, reason: CloseReason) -> None:
-        """End the connection, if one is open."""
+        """Close the connection if one is open."""
         if self.connection:
             self.connection.close(reason)
--- a/seamlb/fronts/__init__.py
+++ b/seamlb/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: what callers speak, turned into requests for the core."""
+"""Fronts: the protocols that callers speak, translated into requests for the core."""
--- a/seamlb/fronts/calls.py
+++ b/seamlb/fronts/calls.py
@@ -1,4 +1,4 @@
-"""Callers of the platform's front: their connections, and each call as the core sees its caller."""
+"""Caller connections of the platform front, and the caller's side of each call as the core sees it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from seamlb.fronts.releases import Receiver
+from seamlb.fronts.releases import ReleaseSender
 from seamlb.net.connection import Connection
 from seamlb.protocol.sip import Framer, Message, response
 from seamlb.routing.agent import Life
@@ -20,9 +20,9 @@
     """A connection from callers."""
 
     connection: Connection
-    receiver: Receiver
+    release_sender: ReleaseSender
     framer: Framer = field(default_factory=Framer)
-    open: dict[str, Call] = field(default_factory=dict)  # set-ups not answered yet
+    unanswered: dict[str, Call] = field(default_factory=dict)  # set-ups without a final answer, by Call-ID
 
 
 @dataclass(slots=True, eq=False)
@@ -33,28 +33,28 @@
     client: Client
     invite: Message
     ident: str
-    life: Life | None = None
+    session: Life | None = None
 
-    def _final(self, message: Message) -> bool:
-        self.client.open.pop(self.ident, None)
+    def _send_final(self, message: Message) -> bool:
+        self.client.unanswered.pop(self.ident, None)
         return self.client.connection.send(message.encode())
 
     def stands(self, description: bytes) -> bool:
-        """Pass the answer on; False if the caller can no longer be told."""
-        told = self._final(response(self.invite, 200, body=description))
-        if told:
-            self.client.receiver.answered()
-        return told
+        """Answer 200 with the desk's session description; False if the connection has ended."""
+        sent = self._send_final(response(self.invite, 200, body=description))
+        if sent:
+            self.client.release_sender.answered()
+        return sent
 
     def refused(self, back_off_ms: float) -> None:
-        """Answer 503, with the time to come back after if there is one."""
+        """Answer 503, with Retry-After if `back_off_ms` is not 0."""
         extra = [("Retry-After", str(math.ceil(back_off_ms / 1000.0)))] if back_off_ms > 0 else []
-        self._final(response(self.invite, 503, *extra))
+        self._send_final(response(self.invite, 503, *extra))
 
     def failed(self) -> None:
         """Answer 500."""
-        self._final(response(self.invite, 500))
+        self._send_final(response(self.invite, 500))
 
     def released(self, cause: int) -> None:
-        """Tell the caller that the call that stood is over."""
+        """Send the release of an established call to the caller."""
         self.front.release(self.ident, cause, self.client)
--- a/seamlb/fronts/figures.py
+++ b/seamlb/fronts/figures.py
@@ -1,4 +1,4 @@
-"""What a caller says of its call in headers, checked for both fronts before the core hears of it."""
+"""Parses and checks the call parameters in a caller's headers, for both SIP fronts, before the core uses them."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from seamlb.protocol.report import read_figures
 from seamlb.protocol.sip import digits
 
-MOST_CELLS = 1 << 16  # a pool's or exchange's number has 16 bits
+MAX_CELLS = 1 << 16  # the number of a pool or exchange has 16 bits
 
 
-class ManagementCallError(Exception):
-    """A set-up that can't be taken; its text tells the caller why."""
+class InvalidCallError(Exception):
+    """A set-up with invalid parameters; its text is sent to the caller in a Warning header."""
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
-    """The figures of a set-up."""
+class CallParameters:
+    """The parameters of a set-up."""
 
     destination: int
     slots: float
@@ -25,35 +25,37 @@
     cut_before: bool
 
 
-def figures(text: str, kind: CallClass, usual: int | None = None) -> Figures:
-    """Read X-Legs; `usual` stands for a missing first choice, which is an error without it.
+def parse_parameters(text: str, call_class: CallClass, default_destination: int | None = None) -> CallParameters:
+    """Parse X-Legs; without a `default_destination`, a missing first choice is an error.
 
-    Guards the module and the desks against figures that are none, or that no call of its class has.
+    Protects the decision module and the desks from values that are not numbers or that no call of the class has.
     """
     try:
-        told = read_figures(text)
+        values = read_figures(text)
     except ValueError as error:
-        raise ManagementCallError(f"X-Legs: {error}") from None
-    if usual is None and "dest" not in told:
-        raise ManagementCallError("X-Legs names no first choice")
-    dest = _place("dest", told.get("dest", usual if usual is not None else -1))
-    if kind.pools is not None and dest not in kind.pools:
-        raise ManagementCallError("the first choice can't take this class")
-    if told.get("width", kind.width) != kind.width:
-        raise ManagementCallError("another width than the class has")
-    return Figures(dest, kind.width, _place("via", told.get("via", -1)), told.get("again", 0) > 0)
-
-
-def _place(name: str, value: float) -> int:
-    if value != int(value) or not -1 <= value < MOST_CELLS:
-        raise ManagementCallError(f"X-Legs: {name} is out of range")
+        raise InvalidCallError(f"X-Legs: {error}") from None
+    if default_destination is None and "dest" not in values:
+        raise InvalidCallError("X-Legs names no first choice")
+    dest = _parse_cell("dest", values.get("dest", default_destination if default_destination is not None else -1))
+    if call_class.pools is not None and dest not in call_class.pools:
+        raise InvalidCallError("the first choice can't take this class")
+    if values.get("width", call_class.width) != call_class.width:
+        raise InvalidCallError("another width than the class has")
+    return CallParameters(
+        dest, call_class.width, _parse_cell("via", values.get("via", -1)), values.get("again", 0) > 0
+    )
+
+
+def _parse_cell(name: str, value: float) -> int:
+    if value != int(value) or not -1 <= value < MAX_CELLS:
+        raise InvalidCallError(f"X-Legs: {name} is out of range")
     return int(value)
 
 
-def patience(text: str, kind: CallClass, name: str) -> float:
-    """Milliseconds that a caller waits: no longer than its class may."""
+def parse_timeout(text: str, call_class: CallClass, name: str) -> float:
+    """Return how many ms the caller waits, which must not exceed the deadline of its class."""
     if not digits(text):
-        raise ManagementCallError(f"{name} is no number of milliseconds")
-    if float(text) > kind.deadline:
-        raise ManagementCallError(f"{name} is longer than the class may wait")
+        raise InvalidCallError(f"{name} is no number of milliseconds")
+    if float(text) > call_class.deadline:
+        raise InvalidCallError(f"{name} is longer than the class may wait")
     return float(text)
--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: callers' SIP dialect over TCP (PROTOCOL), turned into requests for the core."""
+"""The platform front: the callers' SIP dialect over TCP (PROTOCOL), translated into requests for the core."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from seamlb import log
 from seamlb.fronts.calls import Call, Client
-from seamlb.fronts.figures import ManagementCallError, figures, patience
-from seamlb.fronts.releases import UNTOLD, Receiver, Release, ReleaseQueue
+from seamlb.fronts.figures import InvalidCallError, parse_parameters, parse_timeout
+from seamlb.fronts.releases import PREFERENCE_WAIT, Release, ReleaseQueue, ReleaseSender
 from seamlb.lifecycle import Lifecycle, Phase
 from seamlb.net.connection import MAX_UNSENT_CLIENT, Connection
-from seamlb.net.lag import Lag
+from seamlb.net.lag import EventLoopLag
 from seamlb.net.listener import Listener
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import MAX_MESSAGE, Message, SipError, digits, parameter, response
@@ -21,15 +21,15 @@
 from seamlb.routing.model import Request
 
 ALLOW = ("Allow", "INVITE, ACK, CANCEL, BYE, OPTIONS")
-NORMAL = 16
-IDENT = re.compile(r"[0-9A-Fa-f]{16}")  # PROTOCOL: a message names its call by 16 hex digits
-NUMBER = re.compile(r"[0-9A-Za-z+*#._-]{1,64}")  # what goes on to desks as it is
-MOST_BODY = MAX_MESSAGE - 1024  # the rest is for the headers that we write
-SPOILT = 1024  # ids used twice that are remembered
+CAUSE_NORMAL = 16  # Q.850: normal call clearing
+CALL_ID = re.compile(r"[0-9A-Fa-f]{16}")  # PROTOCOL: a Call-ID is 16 hex digits
+NUMBER = re.compile(r"[0-9A-Za-z+*#._-]{1,64}")  # forwarded to desks unchanged
+MAX_BODY = MAX_MESSAGE - 1024  # bytes; the rest is for the headers that are added
+MAX_REUSED_IDS = 1024  # Call-IDs remembered because they were used twice
 
 
 class PlatformFront:
-    """Listens where the platform says."""
+    """Accepts callers on the address given by the platform."""
 
     def __init__(self, agent: Agent, lifecycle: Lifecycle, address: str, limit: int) -> None:
         self.agent = agent
@@ -38,100 +38,100 @@
         self.listener = Listener("client", limit, self._serve, MAX_UNSENT_CLIENT)
         self.clients: set[Client] = set()
         self.calls: dict[str, Call] = {}
-        self.spoilt: dict[str, None] = {}
+        self.reused_ids: dict[str, None] = {}
         self.releases = ReleaseQueue()
-        self.receivers: dict[Connection, Receiver] = {}
-        self.lag: Lag | None = None
-        self.on_disconnect: Callable[[], None] = lambda: None  # told when a caller's connection has ended
+        self.release_senders: dict[Connection, ReleaseSender] = {}
+        self.lag: EventLoopLag | None = None
+        self.on_disconnect: Callable[[], None] = lambda: None  # called when a caller connection has ended
 
     def start(self, descriptor: int | None = None) -> None:
-        """Listen on our address, or on the socket that was handed down."""
+        """Listen on the configured address, or on an inherited socket."""
         if descriptor is None:
             self.listener.bind_and_listen(self.address)
         else:
             self.listener.listen_on_descriptor(descriptor)
-        self.lag = Lag()
+        self.lag = EventLoopLag()
 
     def apply_lifecycle(self, now: float) -> None:
-        """Do what the lifecycle says of the listener and of connections without an open set-up."""
+        """Stop listening and close connections without an unanswered set-up, as the lifecycle requires."""
         if not self.lifecycle.listens(now):
             self.listener.stop()
-        least = self.lifecycle.spares(now)
-        if least == math.inf:
+        min_idle = self.lifecycle.spares(now)
+        if min_idle == math.inf:
             return
         self.flush()
-        standing = {call.client for call in self.calls.values()} if self.lifecycle.keeps_standing else set()
-        for client in self.clients - standing:
-            # Half a message has its own time to become whole: its caller is not cut off in the middle.
-            if not client.framer.data and client.connection.quiet(least):
+        kept = {call.client for call in self.calls.values()} if self.lifecycle.keeps_standing else set()
+        for client in self.clients - kept:
+            # A partly received message has its own timeout, so its caller is not cut off in the middle of it.
+            if not client.framer.data and client.connection.is_idle(min_idle):
                 client.connection.close(CloseReason.QUIESCED)
 
     def reachable_connections(self) -> int:
-        """Callers' connections that can still be told something, whose callers are not known to leave it unread."""
-        return sum(not client.connection.closed and client.receiver.confirmed for client in self.clients)
+        """Count the caller connections that are open and whose caller is not suspected of having stopped reading."""
+        return sum(not client.connection.closed and client.release_sender.acked for client in self.clients)
 
     def close(self) -> None:
-        """Stop listening and end what is open."""
+        """Stop listening and close all connections."""
         self.listener.stop()
         if self.lag:
             self.lag.stop()
         for client in list(self.clients):
             client.connection.flush_and_close(CloseReason.SHUTDOWN)
 
-    def release(self, ident: str, cause: int, first: Client | None = None) -> None:
-        """Tell callers that a call is over: on its connection, another one, or the next that asks."""
+    def release(self, ident: str, cause: int, preferred: Client | None = None) -> None:
+        """Send a release to callers: on the preferred connection, another one, or the next that becomes usable."""
         release = Release.of(ident, cause)
-        if first is None or not first.receiver.tell(release):
+        if preferred is None or not preferred.release_sender.send(release):
             self._queue(release)
 
-    def release_unknown_call(self, ident: str, cause: int, told: Callable[[], object]) -> None:
-        """Tell callers that a call of an earlier process is over; `told` is called once they are."""
-        self._queue(Release.of(ident, cause, told))
+    def release_unknown_call(self, ident: str, cause: int, on_sent: Callable[[], object]) -> None:
+        """Send the release of a call of an earlier process; `on_sent` is called after it was sent to a caller."""
+        self._queue(Release.of(ident, cause, on_sent))
 
     def _queue(self, release: Release) -> None:
-        """Tell it on another connection of callers, now or when there is one."""
+        """Send a release on any caller connection, now or as soon as there is one."""
         self.releases.pending.append(release)
         self.flush()
         if self.releases.pending:
-            asyncio.get_running_loop().call_later(UNTOLD, self.flush)
+            asyncio.get_running_loop().call_later(PREFERENCE_WAIT, self.flush)
 
     def flush(self) -> None:
-        """Tell the releases that wait on the connections there are, the latest used first among equals.
+        """Send the waiting releases on the open connections, the latest used first among equals.
 
-        A process that ends has no better ones to wait for.
+        A process that ends does not wait for better connections.
         """
-        receivers = (self.receivers.get(one) for one in reversed(self.listener.connections))
+        senders = (self.release_senders.get(one) for one in reversed(self.listener.connections))
         ends = self.lifecycle.phase in (Phase.DRAINING, Phase.ENDED)
-        self.releases.flush((one for one in receivers if one is not None), at_once=ends)
+        self.releases.flush((one for one in senders if one is not None), immediately=ends)
 
     async def _serve(self, connection: Connection) -> None:
-        client = Client(connection, Receiver(connection))
+        client = Client(connection, ReleaseSender(connection))
         self.clients.add(client)
-        self.receivers[connection] = client.receiver
-        connection.in_use = lambda: bool(client.open)
+        self.release_senders[connection] = client.release_sender
+        connection.in_use = lambda: bool(client.unanswered)
 
         def received(data: bytes) -> None:
-            whole = client.framer.take(
+            messages = client.framer.take(
                 data, lambda message: self._request(client, message), lambda error: self._malformed(client, error)
             )
-            connection.messages_read(whole, bool(client.framer.data))
-            if whole and not connection.closed:
+            connection.messages_read(messages, bool(client.framer.data))
+            if messages and not connection.closed:
                 self.listener.mark_used(connection)
                 self.flush()
 
         try:
             await connection.run(received)
         finally:
-            self._gone(client)
+            self._disconnected(client)
 
-    def _gone(self, client: Client) -> None:
-        """Nobody can be told any more on this connection."""
+    def _disconnected(self, client: Client) -> None:
+        """End the unanswered calls of a connection that is no longer usable, and requeue its last releases."""
         self.clients.discard(client)
-        for call in list(client.open.values()):
-            self._left(call, NORMAL)
-        client.open.clear()
-        self.receivers.pop(client.connection, None)
-        for release in client.receiver.crossed():
+        for call in list(client.unanswered.values()):
+            self._caller_left(call, CAUSE_NORMAL)
+        client.unanswered.clear()
+        self.release_senders.pop(client.connection, None)
+        for release in client.release_sender.take_unconfirmed():
             self._queue(release)
         self.on_disconnect()
 
@@ -140,87 +140,87 @@
         request = error.answerable()
         if request:
             client.connection.send(response(request, error.status).encode())
-        if error.lost or not request:  # who can't be told anything else is told by the end
+        if error.lost or not request:  # without a response, closing the connection tells the caller
             client.connection.lingering_close(CloseReason.MALFORMED)
-            self._gone(client)
+            self._disconnected(client)
 
     def _request(self, client: Client, message: Message) -> None:
         if client.connection.closed:
-            return  # the rest of what came with a message that ended it
+            return  # arrived together with a message that ended the connection
         ident = message.get("call-id")
         call = self.calls.get(ident)
-        # A set-up that is open is its own caller's; one that stands belongs to no connection.
-        theirs = call if call and (call.client is client or ident not in call.client.open) else None
+        # An unanswered set-up belongs to its connection; an established call belongs to none.
+        own_call = call if call and (call.client is client or ident not in call.client.unanswered) else None
         match message.method:
             case "INVITE":
                 self._invite(client, message, ident, call)
             case "ACK":
-                client.receiver.confirmed = True
+                client.release_sender.acked = True
                 self.flush()
             case "":
-                client.receiver.heard(ident)
+                client.release_sender.confirm(ident)
             case "CANCEL":
-                if theirs and client.open.pop(ident, None):  # no answer is owed to a caller that gave up
-                    self._left(theirs, NORMAL)
+                if own_call and client.unanswered.pop(ident, None):  # a caller that cancels expects no answer
+                    self._caller_left(own_call, CAUSE_NORMAL)
             case "BYE":
-                client.connection.send(response(message, 200 if theirs else 481).encode())
-                if theirs:
-                    client.open.pop(ident, None)
+                client.connection.send(response(message, 200 if own_call else 481).encode())
+                if own_call:
+                    client.unanswered.pop(ident, None)
                     cause = parameter(message.get("reason"), "cause")
-                    self._left(theirs, int(cause) if digits(cause) else NORMAL)
+                    self._caller_left(own_call, int(cause) if digits(cause) else CAUSE_NORMAL)
             case "OPTIONS":
                 client.connection.send(response(message, 200 if self.lifecycle.ready else 503).encode())
             case _:
                 client.connection.send(response(message, 405, ALLOW).encode())
 
-    def _left(self, call: Call, cause: int) -> None:
-        if call.life:
-            self.agent.caller_left(call.life, cause)
+    def _caller_left(self, call: Call, cause: int) -> None:
+        if call.session:
+            self.agent.caller_left(call.session, cause)
 
     def _invite(self, client: Client, message: Message, ident: str, known: Call | None) -> None:
-        if known is not None or ident in self.spoilt:  # the same id again: never a second attempt
-            if known and client.open.pop(ident, None):
-                # Its own caller could not tell the two answers apart: this one is for both.
-                self._spoil(ident)
-                self._left(known, NORMAL)
+        if known is not None or ident in self.reused_ids:  # a reused Call-ID must never start a second attempt
+            if known and client.unanswered.pop(ident, None):
+                # This connection sent both set-ups and could not tell two answers apart: the 482 answers both.
+                self._mark_reused(ident)
+                self._caller_left(known, CAUSE_NORMAL)
             client.connection.send(response(message, 482).encode())
             return
         call = Call(self, client, message, ident)
         try:
-            request = self._read(message, ident)
-        except ManagementCallError as bad:
-            client.connection.send(response(message, 400, ("Warning", f'399 seamlb "{bad}"')).encode())
+            request = self._parse_request(message, ident)
+        except InvalidCallError as error:
+            client.connection.send(response(message, 400, ("Warning", f'399 seamlb "{error}"')).encode())
             return
-        client.open[ident] = call
-        call.life = self.agent.take(request, call)
-        if call.life:
+        client.unanswered[ident] = call
+        call.session = self.agent.take(request, call)
+        if call.session:
             self.calls[ident] = call
-            call.life.closed = lambda: self.calls.pop(ident, None)
+            call.session.closed = lambda: self.calls.pop(ident, None)
 
-    def _spoil(self, ident: str) -> None:
-        """An id that was used twice is never taken again: rule 5 would bar it, and no answer could be told."""
-        self.spoilt[ident] = None
-        while len(self.spoilt) > SPOILT:
-            del self.spoilt[next(iter(self.spoilt))]
+    def _mark_reused(self, ident: str) -> None:
+        """Refuse a Call-ID that was used twice from now on: rule 5 would bar it, its answers would be ambiguous."""
+        self.reused_ids[ident] = None
+        while len(self.reused_ids) > MAX_REUSED_IDS:
+            del self.reused_ids[next(iter(self.reused_ids))]
 
-    def _read(self, message: Message, ident: str) -> Request:
+    def _parse_request(self, message: Message, ident: str) -> Request:
         settings = self.agent.settings
         name = message.get("x-cos")
         if name not in settings.class_ids:
-            raise ManagementCallError("unknown class")
-        if not IDENT.fullmatch(ident):
-            raise ManagementCallError("Call-ID is not 16 hex digits")
+            raise InvalidCallError("unknown class")
+        if not CALL_ID.fullmatch(ident):
+            raise InvalidCallError("Call-ID is not 16 hex digits")
         tenant = message.get("x-operator")
         if tenant and settings.tenant_ids and tenant not in settings.tenant_ids:
-            raise ManagementCallError("unknown tenant")
+            raise InvalidCallError("unknown tenant")
         scheme, _, rest = message.uri.partition(":")
         number = rest.partition("@")[0]
         if scheme.lower() not in ("sip", "sips") or not NUMBER.fullmatch(number):
-            raise ManagementCallError("not a SIP address")
-        if len(message.body) > MOST_BODY:
-            raise ManagementCallError("the description is too long")
-        kind = settings.classes[settings.class_ids[name]]
-        told = figures(message.get("x-legs"), kind)
+            raise InvalidCallError("not a SIP address")
+        if len(message.body) > MAX_BODY:
+            raise InvalidCallError("the description is too long")
+        call_class = settings.classes[settings.class_ids[name]]
+        parameters = parse_parameters(message.get("x-legs"), call_class)
         return Request(
             ident=ident,
             call_class=settings.class_ids[name],
@@ -228,12 +228,12 @@
             tenant=settings.tenant_ids.get(tenant, 0),
             tenant_name=tenant,
             number=number,
-            patience_ms=patience(message.get("x-timer-ms"), kind, "X-Timer-Ms"),
-            destination=told.destination,
-            slots=told.slots,
-            via=told.via,
-            cut_before=told.cut_before,
+            patience_ms=parse_timeout(message.get("x-timer-ms"), call_class, "X-Timer-Ms"),
+            destination=parameters.destination,
+            slots=parameters.slots,
+            via=parameters.via,
+            cut_before=parameters.cut_before,
             description=message.body,
-            # The caller's time runs from when it sent: a stall of this process must not stretch it.
+            # The caller's time runs from when it sent the request: a stall of this process must not extend it.
             sent_ms_ago=self.lag.ms() if self.lag else 0.0,
         )
--- a/seamlb/fronts/releases.py
+++ b/seamlb/fronts/releases.py
@@ -1,4 +1,4 @@
-"""Releases on their way to callers: which connection they are told on, and again where its end crossed them."""
+"""Sends the releases of calls to callers, and repeats them where the end of a connection may have lost them."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from seamlb.protocol.sip import Message
 
 MAX_PENDING = 4096  # releases that wait for a connection
-TELL_WITHIN = 1.0  # seconds from a call's end within which its caller has to be told
-UNTOLD = 0.5  # seconds that a release waits for a caller known to be one; it must be told within TELL_WITHIN
-SERVED, ASKED = 2, 1  # a connection's credit: a call was set up on it, or a whole message has come
-TIMER_SLACK = 0.01  # seconds by which a timer may be early
+RELEASE_DEADLINE = 1.0  # seconds from the end of a call in which its caller has to get the release
+PREFERENCE_WAIT = 0.5  # seconds a release waits for a connection with a served caller, within RELEASE_DEADLINE
+SERVED, ASKED = 2, 1  # `Connection.trust`: a call was set up on it, or only a complete message was received
+TIMER_SLACK = 0.01  # seconds a timer may fire early
 
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """A call that is over, of which its caller has to be told."""
+    """The BYE of a call that has ended, for its caller."""
 
-    since: float  # loop time at which it was over
+    ended_at: float  # loop time in seconds
     ident: str
     data: bytes
-    told: Callable[[], object] = lambda: None  # called once it has been told
+    on_sent: Callable[[], object] = lambda: None
 
     @classmethod
-    def of(cls, ident: str, cause: int, told: Callable[[], object] = lambda: None) -> Release:
-        """The release of a call that is over now, with its Q.850 cause."""
+    def of(cls, ident: str, cause: int, on_sent: Callable[[], object] = lambda: None) -> Release:
+        """Create the release of a call that has just ended, with its Q.850 cause."""
         message = Message(
             "BYE",
             f"sip:{ident}@net",
@@ -39,69 +39,69 @@
                 ("Reason", f"Q.850;cause={cause}"),
             ],
         )
-        return cls(asyncio.get_running_loop().time(), ident, message.encode(), told)
+        return cls(asyncio.get_running_loop().time(), ident, message.encode(), on_sent)
 
 
 @dataclass(slots=True, eq=False)
-class Receiver:
-    """A callers' connection, and the releases that were told on it and not heard of."""
+class ReleaseSender:
+    """A caller connection and the releases sent on it that were not confirmed."""
 
     connection: Connection
-    unheard: dict[str, Release] = field(default_factory=dict)
-    confirmed: bool = True  # no: an answer on it has had no ACK yet, and its caller may not read
+    unconfirmed: dict[str, Release] = field(default_factory=dict)
+    acked: bool = True  # False while an answer on it has no ACK: its caller may not be reading
 
     def answered(self) -> None:
-        """A call was set up on it."""
-        self.connection.credit = SERVED
-        self.confirmed = False
+        """Record that a call was set up on this connection."""
+        self.connection.trust = SERVED
+        self.acked = False
 
-    def tell(self, release: Release) -> bool:
-        """Tell a release; False if the connection has ended, or the other side has ended it."""
-        if self.connection.over() or not self.connection.send(release.data):
+    def send(self, release: Release) -> bool:
+        """Send a release; False if the connection has ended on either side."""
+        if self.connection.has_ended() or not self.connection.send(release.data):
             return False
-        self._forget_old()
-        self.unheard[release.ident] = release
-        release.told()
+        self._drop_expired()
+        self.unconfirmed[release.ident] = release
+        release.on_sent()
         return True
 
-    def heard(self, ident: str) -> None:
-        """The other side has confirmed a release."""
-        self.unheard.pop(ident, None)
+    def confirm(self, ident: str) -> None:
+        """Record that the caller has confirmed a release."""
+        self.unconfirmed.pop(ident, None)
 
-    def crossed(self) -> list[Release]:
-        """The connection has ended: what was told just before may not have been read. Told twice it does no harm."""
-        self._forget_old()
-        crossed = [replace(one, told=lambda: None) for one in self.unheard.values()]
-        self.unheard.clear()
-        return crossed
+    def take_unconfirmed(self) -> list[Release]:
+        """Return the latest unconfirmed releases of a connection that has ended; sending them twice is harmless."""
+        self._drop_expired()
+        unconfirmed = [replace(one, on_sent=lambda: None) for one in self.unconfirmed.values()]
+        self.unconfirmed.clear()
+        return unconfirmed
 
-    def _forget_old(self) -> None:
-        oldest = asyncio.get_running_loop().time() - TELL_WITHIN
-        while self.unheard and next(iter(self.unheard.values())).since < oldest:
-            del self.unheard[next(iter(self.unheard))]
+    def _drop_expired(self) -> None:
+        oldest = asyncio.get_running_loop().time() - RELEASE_DEADLINE
+        while self.unconfirmed and next(iter(self.unconfirmed.values())).ended_at < oldest:
+            del self.unconfirmed[next(iter(self.unconfirmed))]
 
 
 class ReleaseQueue:
-    """Releases that wait for a connection of callers."""
+    """Releases that wait for a caller connection."""
 
     def __init__(self) -> None:
         self.pending: deque[Release] = deque(maxlen=MAX_PENDING)
 
-    def flush(self, receivers: Iterable[Receiver], at_once: bool = False) -> None:
-        """Tell what waits on these connections, the best first: whoever had a call set up, in need whoever asked.
+    def flush(self, senders: Iterable[ReleaseSender], immediately: bool = False) -> None:
+        """Send the waiting releases on these connections, preferring those on which a call was set up.
 
-        On one that only asks, as a crowd does, a release may be lost: a better one is waited for, unless it has to
-        be `at_once`. One whose caller may not read comes last.
+        A caller that has only sent a request, like one of a crowd, may lose a release; such a connection is used only
+        after PREFERENCE_WAIT, or `immediately`. Connections whose caller may not be reading are used last.
         """
         if not self.pending:
             return
         now = asyncio.get_running_loop().time()
-        able = sorted(receivers, key=lambda one: (one.confirmed, one.connection.credit), reverse=True)
-        good = [one for one in able if one.confirmed and one.connection.credit >= SERVED]
-        asked = [one for one in able if one.connection.credit >= ASKED]
+        ranked = sorted(senders, key=lambda one: (one.acked, one.connection.trust), reverse=True)
+        served = [one for one in ranked if one.acked and one.connection.trust >= SERVED]
+        usable = [one for one in ranked if one.connection.trust >= ASKED]
         while self.pending:
             release = self.pending[0]
-            wait = not at_once and now - release.since < UNTOLD - TIMER_SLACK
-            if not any(one.tell(release) for one in (good if wait else asked)):
+            wait = not immediately and now - release.ended_at < PREFERENCE_WAIT - TIMER_SLACK
+            if not any(one.send(release) for one in (served if wait else usable)):
                 return
             self.pending.popleft()
--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -1,4 +1,4 @@
-"""The sip front: the caller's side of a B2BUA over UDP and TCP, on the same core as the platform's front."""
+"""The SIP front: the caller's side of a B2BUA over UDP and TCP, on the same core as the platform front."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from typing import Any
 
 from seamlb import log
-from seamlb.fronts.figures import ManagementCallError, figures, patience
+from seamlb.fronts.figures import InvalidCallError, parse_parameters, parse_timeout
 from seamlb.lifecycle import Lifecycle
-from seamlb.net.lag import Lag
+from seamlb.net.lag import EventLoopLag
 from seamlb.protocol.dialog import Dialog, Resender
 from seamlb.protocol.sip import Message, digits, parameter, response
 from seamlb.routing.agent import Agent, Life
@@ -23,31 +23,31 @@
 
 ALLOWED = ("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS")
 ALLOW = ("Allow", ", ".join(ALLOWED))
-NORMAL = 16
+CAUSE_NORMAL = 16  # Q.850: normal call clearing
 
 
-# The hook: facts of a call, known classes and tenants; gives class and tenant.
+# A hook function: takes facts about a call, the ids of known classes and of tenants; returns class and tenant.
 Classify = Callable[[dict[str, Any], Mapping[str, int], Mapping[str, int]], tuple[str, str]]
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One INVITE, then its dialog; the caller of a request as the core sees it."""
+    """One INVITE, then its dialog: the caller of a request as the core sees it."""
 
     front: SipFront
     invite: Message
     entry: Entry
     flow: Flow
     tag: str
-    life: Life | None = None
+    session: Life | None = None
     dialog: Dialog | None = None
     resender: Resender | None = None
     timer: asyncio.TimerHandle | None = None
     answered: bool = False
-    release: int | None = None  # cause of a release that waits for the ACK
+    pending_cause: int | None = None  # Q.850 cause of a release that waits for the ACK
 
     def respond(self, status: int, *extra: tuple[str, str], body: bytes = b"") -> None:
-        """Send a response; a final one ends the transaction's wait."""
+        """Send a response; after a final one the set-up is no longer pending."""
         self.answered = status >= 200
         if self.answered:
             self.front.pending.pop(self.entry.key, None)
@@ -55,7 +55,7 @@
         self.front.endpoint.respond(self.entry, answer)
 
     def stands(self, description: bytes) -> bool:
-        """200 with the desk's description, byte for byte; resent until the ACK."""
+        """Answer 200 with the desk's session description, unchanged, and resend it until the ACK arrives."""
         if self.answered:
             return False
         now = asyncio.get_running_loop().time()
@@ -79,23 +79,23 @@
         if again := self.resender.poll(loop.time() + 0.001):
             self.front.endpoint.respond(self.entry, again)
         elif self.resender.expired(loop.time() + 0.001):
-            # No ACK ever came: the call is taken down (13.3.1.4).
+            # The ACK never arrived: the call is released (13.3.1.4).
             log.event("no_ack", kind="sip", call=self.invite.get("call-id"), how="timeout")
             self.timer = None
-            self.front.left(self, NORMAL)
-            return self._bye(self.release if self.release is not None else NORMAL)
+            self.front.caller_left(self, CAUSE_NORMAL)
+            return self._bye(self.pending_cause if self.pending_cause is not None else CAUSE_NORMAL)
         self.timer = loop.call_at(self.resender.due, self._resend)
 
-    def acked(self) -> None:
-        """The ACK of our 200: no more copies, and a release that waited for it may go."""
+    def on_ack(self) -> None:
+        """Handle the ACK of the 200: stop resending it, and send a release that waited for the ACK."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
-            if self.release is not None:
-                self._bye(self.release)
+            if self.pending_cause is not None:
+                self._bye(self.pending_cause)
 
     def refused(self, back_off_ms: float) -> None:
-        """Answer 503, with the time to come back after if there is one."""
+        """Answer 503, with Retry-After if `back_off_ms` is not 0."""
         extra = [("Retry-After", str(math.ceil(back_off_ms / 1000.0)))] if back_off_ms > 0 else []
         self._final(503, *extra)
 
@@ -104,13 +104,13 @@
         self._final(500)
 
     def _final(self, status: int, *extra: tuple[str, str]) -> None:
-        if not self.answered:  # a CANCEL may have brought its 487 already
+        if not self.answered:  # a CANCEL may have been answered with 487 already
             self.respond(status, *extra)
 
     def released(self, cause: int) -> None:
-        """Send the BYE, once the ACK has come or its time is over."""
+        """Send the BYE once the ACK has arrived or its timeout is over."""
         if self.timer:
-            self.release = cause  # a BYE may not go before the ACK has come (15)
+            self.pending_cause = cause  # no BYE may be sent before the ACK (15)
         else:
             self._bye(cause)
 
@@ -120,18 +120,18 @@
             return
         self.front.dialogs.pop(dialog.key, None)
         endpoint, ident = self.front.endpoint, self.invite.get("call-id")
-        target = back = Target(self.flow.transport, self.flow.source)
-        with contextlib.suppress(ValueError):  # a name, or nothing usable: back to where the call came from
+        target = origin = Target(self.flow.transport, self.flow.source)
+        with contextlib.suppress(ValueError):  # a host name or no usable URI: send it to where the call came from
             target = uri_target(dialog.next_hop(), self.flow.transport)
-        target = target if target.transport in endpoint.addresses else back
+        target = target if target.transport in endpoint.addresses else origin
         bye = dialog.request("BYE", endpoint.via(target.transport), ("Reason", f"Q.850;cause={cause}"))
         if self.flow.connection and self.flow.connection.closed is False and target.transport == "TCP":
-            # The caller's own connection still works: it may not be reachable any other way.
+            # Reuse the caller's connection: the caller may not be reachable any other way.
             endpoint.adopt(target.address, self.flow.connection)
         endpoint.request(bye, target, lambda answer: None, lambda how: log.event("no_bye", call=ident, how=how))
 
-    def over(self) -> None:
-        """The caller has released: the dialog ends here."""
+    def end_dialog(self) -> None:
+        """End the dialog after the caller has released the call, or cannot be reached."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
@@ -141,7 +141,7 @@
 
 
 class SipFront:
-    """Takes SIP calls for the core."""
+    """Accepts SIP calls for the core."""
 
     def __init__(
         self, agent: Agent, lifecycle: Lifecycle, config: SipFrontConfig, classify: Classify | None = None
@@ -155,15 +155,15 @@
         self.endpoint.on_ack = self._ack
         self.pending: dict[tuple[str, ...], Call] = {}
         self.dialogs: dict[tuple[str, str, str], Call] = {}
-        self.lag: Lag | None = None
+        self.lag: EventLoopLag | None = None
 
     async def start(self) -> None:
         """Listen on the configured transports."""
         await self.endpoint.listen(self.config.udp, self.config.tcp)
-        self.lag = Lag()
+        self.lag = EventLoopLag()
 
     def apply_lifecycle(self, now: float) -> None:
-        """Do what the lifecycle says of the listener; its callers' connections end with the process."""
+        """Stop listening when the lifecycle requires it; caller connections stay open until the process ends."""
         if not self.lifecycle.listens(now):
             self.endpoint.stop_listening()
 
@@ -188,10 +188,10 @@
             case "INVITE" if not parameter(message.get("to"), "tag"):
                 self._invite(message, entry, flow)
             case _:
-                self._inside(message, entry)
+                self._in_dialog(message, entry)
 
     def _check(self, message: Message) -> tuple[int, *tuple[tuple[str, str], ...]] | None:
-        """What 8.2 and 16.3 have refused before anything else is looked at."""
+        """Return the refusal that 8.2 and 16.3 require before any other processing, or None."""
         if message.method not in ALLOWED:
             return 405, ALLOW
         scheme = message.uri.partition(":")[0].lower()
@@ -218,10 +218,10 @@
         self.endpoint.respond(entry, response(message, 200, tag=call.tag if call else secrets.token_hex(4)))
         if call:
             call.respond(487)
-            self.left(call, NORMAL)
+            self.caller_left(call, CAUSE_NORMAL)
 
-    def _inside(self, message: Message, entry: Entry) -> None:
-        """A request inside a dialog, or one that pretends to be."""
+    def _in_dialog(self, message: Message, entry: Entry) -> None:
+        """Handle a request that has a To tag, whether its dialog exists or not."""
         to, sender = parameter(message.get("to"), "tag"), parameter(message.get("from"), "tag")
         call = self.dialogs.get((message.get("call-id"), to, sender))
         if call is None or call.dialog is None:
@@ -229,49 +229,49 @@
         if not call.dialog.accepts(message):
             return self._respond(message, entry, 500)
         if message.method == "INVITE":
-            return self._respond(message, entry, 488)  # the description of a call that stands is the desk's
+            return self._respond(message, entry, 488)  # re-INVITE: the session description is the desk's
         self._respond(message, entry, 200)
         if message.method == "BYE":
-            call.over()
+            call.end_dialog()
             cause = parameter(message.get("reason"), "cause")
-            self.left(call, int(cause) if digits(cause) else NORMAL)
+            self.caller_left(call, int(cause) if digits(cause) else CAUSE_NORMAL)
 
     def _ack(self, message: Message) -> None:
         to, sender = parameter(message.get("to"), "tag"), parameter(message.get("from"), "tag")
         if call := self.dialogs.get((message.get("call-id"), to, sender)):
-            call.acked()
+            call.on_ack()
 
-    def _untold(self, call: Call, how: str) -> None:
-        """The final answer got no ACK, or no way to the caller: what stands is taken down at once."""
+    def _answer_undelivered(self, call: Call, how: str) -> None:
+        """Release the call at once: its final answer got no ACK, or could not be sent to the caller."""
         log.event("no_ack", kind="sip", call=call.invite.get("call-id"), how=how)
         if call.dialog:
-            call.over()
-            self.left(call, NORMAL)
+            call.end_dialog()
+            self.caller_left(call, CAUSE_NORMAL)
 
-    def left(self, call: Call, cause: int) -> None:
-        """The caller has gone, or its call can't go on."""
-        if call.life:
-            self.agent.caller_left(call.life, cause)
+    def caller_left(self, call: Call, cause: int) -> None:
+        """Tell the core that the caller has gone or that its call cannot continue."""
+        if call.session:
+            self.agent.caller_left(call.session, cause)
 
     # -- a new call ---------------------------------------------------------------------------
 
     def _invite(self, message: Message, entry: Entry, flow: Flow) -> None:
         from_tag = parameter(message.get("from"), "tag")
-        for other in self.pending.values():  # 8.2.2.2: the same call by another way
+        for other in self.pending.values():  # 8.2.2.2: the same INVITE over another path
             same = other.invite.get("call-id") == message.get("call-id") and other.invite.cseq() == message.cseq()
             if same and parameter(other.invite.get("from"), "tag") == from_tag:
                 return self._respond(message, entry, 482)
         call = Call(self, message, entry, flow, secrets.token_hex(8))
-        entry.failed = lambda how: self._untold(call, how)
+        entry.failed = lambda how: self._answer_undelivered(call, how)
         call.respond(100)
         try:
-            request = self._read(message, call.tag, flow.transport)
-        except ManagementCallError as bad:
-            return call.respond(400, ("Warning", f'399 seamlb "{bad}"'))
+            request = self._parse_request(message, call.tag, flow.transport)
+        except InvalidCallError as error:
+            return call.respond(400, ("Warning", f'399 seamlb "{error}"'))
         self.pending[entry.key] = call
-        call.life = self.agent.take(request, call)
+        call.session = self.agent.take(request, call)
 
-    def _read(self, message: Message, ident: str, transport: str) -> Request:
+    def _parse_request(self, message: Message, ident: str, transport: str) -> Request:
         config, settings = self.config, self.agent.settings
         name = message.get(config.class_header.lower()) or config.default_class
         tenant = message.get(config.tenant_header.lower()) or config.default_tenant
@@ -286,14 +286,14 @@
             }
             name, tenant = self.classify(facts, settings.class_ids, settings.tenant_ids)
         if name not in settings.class_ids:
-            raise ManagementCallError("unknown class")
+            raise InvalidCallError("unknown class")
         if tenant and tenant not in settings.tenant_ids:
-            raise ManagementCallError("unknown tenant")
-        kind = settings.classes[settings.class_ids[name]]
+            raise InvalidCallError("unknown tenant")
+        call_class = settings.classes[settings.class_ids[name]]
         timer = message.get(config.deadline_header.lower())
-        waits = patience(timer, kind, config.deadline_header) if timer else config.default_deadline_ms
-        usual = config.destinations.get(name, min(kind.pools) if kind.pools else 0)
-        told = figures(message.get(config.figures_header.lower()), kind, usual)
+        timeout = parse_timeout(timer, call_class, config.deadline_header) if timer else config.default_deadline_ms
+        destination = config.destinations.get(name, min(call_class.pools) if call_class.pools else 0)
+        parameters = parse_parameters(message.get(config.figures_header.lower()), call_class, destination)
         return Request(
             ident=ident,
             call_class=settings.class_ids[name],
@@ -301,11 +301,11 @@
             tenant=settings.tenant_ids.get(tenant, 0),
             tenant_name=tenant,
             number=number,
-            patience_ms=waits or kind.deadline,
-            destination=told.destination,
-            slots=told.slots,
-            via=told.via,
-            cut_before=told.cut_before,
+            patience_ms=timeout or call_class.deadline,
+            destination=parameters.destination,
+            slots=parameters.slots,
+            via=parameters.via,
+            cut_before=parameters.cut_before,
             description=message.body,
             description_type=message.get("content-type") or "application/sdp",
             sent_ms_ago=self.lag.ms() if self.lag else 0.0,
--- a/seamlb/net/__init__.py
+++ b/seamlb/net/__init__.py
@@ -1,1 +1,1 @@
-"""Transport: connections, listeners and datagrams; knows bytes, no message."""
+"""Transport layer: connections, listeners and datagrams. It handles bytes and knows no message format."""
--- a/seamlb/net/address.py
+++ b/seamlb/net/address.py
@@ -1,4 +1,4 @@
-"""Addresses as text, and descriptors that were handed down."""
+"""Parses `host:port` addresses and checks inherited listening sockets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """`host:port`, the port a number; ValueError otherwise."""
+    """Split `host:port` into host and numeric port; raises ValueError for any other form."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"not host:port: {address!r}")
@@ -14,12 +14,12 @@
 
 
 def address_family(host: str) -> socket.AddressFamily:
-    """The address family of a host as `split_address` gives it."""
+    """Return the address family of a host that `split_address` returned."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
 def listen_socket_error(descriptor: int) -> str:
-    """Why a descriptor that was handed down can't be listened on; empty if it can."""
+    """Return why an inherited descriptor cannot be used as a listening socket, or "" if it can."""
     try:
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
--- a/seamlb/net/datagram.py
+++ b/seamlb/net/datagram.py
@@ -10,21 +10,21 @@
 from seamlb import log
 from seamlb.net.address import address_family, split_address
 
-Received = Callable[[bytes, tuple[str, int]], None]
+DatagramHandler = Callable[[bytes, tuple[str, int]], None]  # data, sender's address
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """One bound address; a fault in a handler is logged and costs that datagram only."""
+    """One bound address; an exception in the handler is logged and loses only that datagram."""
 
-    def __init__(self, kind: str, received: Received) -> None:
+    def __init__(self, kind: str, handler: DatagramHandler) -> None:
         self.kind = kind
-        self.received = received
+        self.handler = handler
         self.transport: asyncio.DatagramTransport | None = None
         self.address = ("", 0)
 
     @classmethod
-    async def bind(cls, address: str, kind: str, received: Received, shared: bool = False) -> DatagramEndpoint:
-        """Bind an address; a shared one may be bound by another process too, the last of which gets what comes."""
+    async def bind(cls, address: str, kind: str, handler: DatagramHandler, shared: bool = False) -> DatagramEndpoint:
+        """Bind an address; if `shared`, other processes may bind it too, and the last one gets the datagrams."""
         host, port = split_address(address)
         sock = socket.socket(address_family(host), socket.SOCK_DGRAM)
         try:
@@ -36,27 +36,27 @@
             sock.close()
             raise
         loop = asyncio.get_running_loop()
-        _, endpoint = await loop.create_datagram_endpoint(lambda: cls(kind, received), sock=sock)
+        _, endpoint = await loop.create_datagram_endpoint(lambda: cls(kind, handler), sock=sock)
         return endpoint
 
     def connection_made(self, transport: Any) -> None:
-        """The socket is open."""
+        """Store the transport and the bound address (asyncio callback)."""
         self.transport = transport
         self.address = transport.get_extra_info("sockname")[:2]
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Pass a datagram on; a fault in its handler is logged."""
+        """Pass a datagram to the handler and log an exception in it (asyncio callback)."""
         try:
-            self.received(data, (addr[0], addr[1]))
+            self.handler(data, (addr[0], addr[1]))
         except Exception as error:
             log.event("fault", where=self.kind, error=repr(error), trace=log.trace(error))
 
     def error_received(self, exc: Exception) -> None:
-        """The system reports an error of an earlier send."""
+        """Log the error of an earlier send (asyncio callback)."""
         log.event("datagram_error", kind=self.kind, error=repr(exc))
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send a datagram, if the socket is open."""
+        """Send a datagram if the socket is open."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, address)
 
--- a/seamlb/net/descriptors.py
+++ b/seamlb/net/descriptors.py
@@ -1,28 +1,28 @@
-"""How many descriptors callers may hold, so that discovery, servers and operators always find one."""
+"""Limits the connections of callers and operators, so that descriptors are left for discovery and servers."""
 
 from __future__ import annotations
 
 import resource
 
-CLIENT_SHARE = 0.6  # part of all descriptors that callers may hold at most; the platform says they take a third
-CLIENT_LEAST = 1 / 3  # and the part that they always may hold
-OPERATOR_SHARE = 1 / 8  # part of all descriptors that operators' connections may hold at most
-OWN = 16  # standard streams, the event loop, listeners, discovery and its successor, one being accepted
-PER_SERVER = 2  # the connection to a server, and one that tests it
+MAX_CALLER_SHARE = 0.6  # of all descriptors; the platform expects callers to need a third
+MIN_CALLER_SHARE = 1 / 3  # of all descriptors; callers may always hold this many
+MANAGEMENT_SHARE = 1 / 8  # of all descriptors
+RESERVED = 16  # standard streams, event loop, listeners, discovery and its replacement, one being accepted
+PER_SERVER = 2  # the connection to a server and the one that tests it
 
 
 def descriptor_limit(configured: int) -> int:
-    """Descriptors that this process may have: what the configuration says, and no more than the system gives."""
+    """Return how many descriptors this process may open: the configured number, capped by RLIMIT_NOFILE."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
 
 
-def max_management_connections(total: int, most: int) -> int:
-    """Connections that operators may hold, at most `most`."""
-    return max(1, min(most, int(total * OPERATOR_SHARE)))
+def max_management_connections(total: int, configured: int) -> int:
+    """Return how many management connections to allow with `total` descriptors, at most `configured`."""
+    return max(1, min(configured, int(total * MANAGEMENT_SHARE)))
 
 
-def max_caller_connections(total: int, servers: int, operators: int) -> int:
-    """Connections that callers may hold beside those to so many servers and of so many operators."""
-    left = total - OWN - PER_SERVER * servers - operators
-    return max(1, int(total * CLIENT_LEAST), min(int(total * CLIENT_SHARE), left))
+def max_caller_connections(total: int, servers: int, management: int) -> int:
+    """Return how many caller connections to allow beside those to the servers and the management connections."""
+    left = total - RESERVED - PER_SERVER * servers - management
+    return max(1, int(total * MIN_CALLER_SHARE), min(int(total * MAX_CALLER_SHARE), left))
--- a/seamlb/net/dial.py
+++ b/seamlb/net/dial.py
@@ -1,4 +1,4 @@
-"""Opens TCP connections; each that never comes up leaves its log line."""
+"""Opens TCP connections and logs each failed attempt as a `connection_end` event."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConnectError(Exception):
-    """A connection that never came up."""
+    """A connection could not be established."""
 
     def __init__(self, reason: CloseReason) -> None:
         super().__init__(reason.value)
@@ -23,7 +23,7 @@
 
 
 async def connect(address: str, kind: str, timeout: float) -> Connection:
-    """Open a connection; ConnectError says why there is none, and its log line is written."""
+    """Open a connection within `timeout` seconds, or log the failure and raise ConnectError with its reason."""
     host, port = split_address(address)
     try:
         sock = socket.socket(address_family(host))
--- a/seamlb/net/lag.py
+++ b/seamlb/net/lag.py
@@ -1,28 +1,28 @@
-"""How late this process is: what waited in a socket's buffer while it did something else, or got no CPU."""
+"""Measures how far the event loop is behind, because the process was busy or got no CPU."""
 
 from __future__ import annotations
 
 import asyncio
 
-BEAT = 0.02  # seconds between beats
+TICK = 0.02  # seconds
 
 
-class Lag:
-    """A beat on the event loop; what is read after a beat came due was waiting no longer than since then."""
+class EventLoopLag:
+    """A periodic timer on the event loop; data read while a tick is overdue has waited at most since it came due."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.due = self.loop.time() + BEAT
-        self.timer = self.loop.call_at(self.due, self._beat)
+        self.due = self.loop.time() + TICK
+        self.timer = self.loop.call_at(self.due, self._tick)
 
-    def _beat(self) -> None:
-        self.due = self.loop.time() + BEAT
-        self.timer = self.loop.call_at(self.due, self._beat)
+    def _tick(self) -> None:
+        self.due = self.loop.time() + TICK
+        self.timer = self.loop.call_at(self.due, self._tick)
 
     def ms(self) -> float:
-        """The longest that a message read now may have waited, beyond one beat."""
+        """Return the longest time in ms that a message read now may have waited, beyond one tick."""
         return max(0.0, self.loop.time() - self.due) * 1000.0
 
     def stop(self) -> None:
-        """Measure no more."""
+        """Stop measuring."""
         self.timer.cancel()
--- a/seamlb/net/listener.py
+++ b/seamlb/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts TCP connections, as many as descriptors may be had for."""
+"""Accepts TCP connections up to a limit, so that the process does not run out of descriptors."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 
 
 class Listener(TCPServer):
-    """Accepts connections on one address; at most `limit` at a time, of which idle ones give way to new ones."""
+    """Accepts connections on one address; at `limit` open connections a new one replaces an idle one."""
 
     def __init__(
-        self, kind: str, limit: int, accepted: Callable[[Connection], Any], max_unsent: int = MAX_UNSENT
+        self, kind: str, limit: int, handler: Callable[[Connection], Any], max_unsent: int = MAX_UNSENT
     ) -> None:
         super().__init__(max_buffer_size=4 * READ_CHUNK)
         self.kind = kind
         self.limit = limit
-        self.accepted = accepted
+        self.handler = handler
         self.max_unsent = max_unsent
-        self.connections: dict[Connection, None] = {}  # the longest without a message first
+        self.connections: dict[Connection, None] = {}  # ordered by latest message, the oldest first
         self.port = 0
-        self._tasks: set[asyncio.Future[None]] = set()  # of connections taken at the stop
-        self._own: socket.socket | None = None  # what nobody else accepts from
+        self._tasks: set[asyncio.Future[None]] = set()  # of connections that were accepted by `stop`
+        self._exclusive_socket: socket.socket | None = None  # a socket that no other process accepts from
 
     def bind_and_listen(self, address: str) -> None:
-        """Listen on this address only."""
+        """Listen on this address."""
         host, port = split_address(address)
         sock = socket.socket(address_family(host))
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
         sock.listen(512)
         self._start(sock)
-        self._own = sock
+        self._exclusive_socket = sock
 
     def listen_on_descriptor(self, descriptor: int) -> None:
-        """Listen on a socket that was handed down; other processes may accept from it too.
+        """Listen on an inherited socket, which other processes may accept from too.
 
-        It is closed at the end and never shut down, as that would end it for them as well.
+        At the end it is closed but never shut down, because a shutdown would stop the other processes as well.
         """
         self._start(socket.socket(fileno=descriptor))
 
@@ -54,67 +54,68 @@
         self.add_socket(sock)
 
     def stop(self) -> None:
-        """Accept no more. What the system has accepted for us by now is taken: a close would break it off."""
-        own, self._own = self._own, None
-        while own is not None:
+        """Stop listening, and take the connections that wait in the backlog, which the close would reset."""
+        exclusive, self._exclusive_socket = self._exclusive_socket, None
+        while exclusive is not None:
             try:
-                connection, address = own.accept()
-            except OSError:  # no more are waiting, or no descriptor is left
+                connection, address = exclusive.accept()
+            except OSError:  # the backlog is empty, or no descriptor is left
                 break
             self._take(connection, address)
         super().stop()
 
     def _take(self, connection: socket.socket, address: Any) -> None:
         connection.setblocking(False)
-        held = self.handle_stream(IOStream(connection, max_buffer_size=self.max_buffer_size), address)
-        if held is not None:
-            task = asyncio.ensure_future(held)
+        handling = self.handle_stream(IOStream(connection, max_buffer_size=self.max_buffer_size), address)
+        if handling is not None:
+            task = asyncio.ensure_future(handling)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def handle_stream(self, stream: IOStream, address: Any) -> Awaitable[None] | None:
-        """Tornado's entry for an accepted connection.
+        """Handle an accepted connection (Tornado callback).
 
-        It takes its place, or is closed, at once: many are accepted in one turn of the loop, and coroutines run after
-        it, so that descriptors kept for servers and discovery would be gone before the limit was looked at.
+        The limit is applied here, not in the coroutine: many connections are accepted in one turn of the event loop
+        and coroutines run after it, when the descriptors reserved for servers and discovery would already be used up.
         """
         stream.max_write_buffer_size = self.max_unsent
         connection = Connection(stream, self.kind, f"{address[0]}:{address[1]}")
-        if len(self.connections) >= self.limit and not self._make_room():
+        if len(self.connections) >= self.limit and not self._evict_idle():
             connection.close(CloseReason.LIMIT)
             return None
         self.connections[connection] = None
-        connection.expect()
-        return self._hold(connection)
+        connection.start_message_timer()
+        return self._handle(connection)
 
-    async def _hold(self, connection: Connection) -> None:
+    async def _handle(self, connection: Connection) -> None:
         try:
-            await self.accepted(connection)
+            await self.handler(connection)
         finally:
             self.connections.pop(connection, None)
 
     def set_limit(self, limit: int) -> None:
-        """Hold at most so many from now on; idle ones beyond that are closed."""
+        """Change the limit of open connections and close idle ones above it."""
         self.limit = limit
-        while len(self.connections) > limit and self._make_room():
+        while len(self.connections) > limit and self._evict_idle():
             pass
 
     def mark_used(self, connection: Connection) -> None:
-        """A message came on it: it is the last to give way."""
+        """Record that a message was received, which makes this connection the last to be evicted at its trust."""
         if connection in self.connections:
             del self.connections[connection]
             self.connections[connection] = None
 
-    def _make_room(self) -> bool:
-        """Close an idle connection: of least credit, and of these the one idle for longest.
+    def _evict_idle(self) -> bool:
+        """Close the idle connection with the least trust, among equals the one idle for longest; False if none is.
 
-        Guards good callers against hundreds that connect and say nothing, or ask once and stay for good: who has
-        been served gives way last.
+        Protects callers from hundreds of connections that send nothing, or send one request and stay open: callers
+        that were served are evicted last.
         """
-        idle = [one for one in self.connections if not one.in_use()]
+        idle = [connection for connection in self.connections if not connection.in_use()]
         if not idle:
             return False
-        one = min(idle, key=lambda one: -1 if one.ending else one.credit)  # of equals the first, so the oldest
-        del self.connections[one]
-        one.close(one.ending or CloseReason.EVICTED)
+        # `min` returns the first of equals, which is the oldest.
+        connection = min(idle, key=lambda one: -1 if one.linger_reason else one.trust)
+        del self.connections[connection]
+        connection.close(connection.linger_reason or CloseReason.EVICTED)
         return True
--- a/seamlb/net/reason.py
+++ b/seamlb/net/reason.py
@@ -1,4 +1,4 @@
-"""Why a connection ended: the codes of the log line that each one leaves."""
+"""Why a connection ended: the `reason` codes of the `connection_end` log event."""
 
 from enum import StrEnum
 
@@ -6,20 +6,20 @@
 class CloseReason(StrEnum):
     """One per ended connection."""
 
-    PEER_CLOSED = "peer_closed"  # the other side closed in good order
-    PEER_RESET = "peer_reset"  # the other side broke it
-    REFUSED = "refused"  # it never came up: nobody listens
-    CONNECT_TIMEOUT = "connect_timeout"  # it never came up in time
-    WRITE_TIMEOUT = "write_timeout"  # the other side took nothing for too long
-    OVERFLOW = "overflow"  # the other side let too much wait, or sent too much
-    MALFORMED = "malformed"  # bytes that can't be read further
-    IDLE = "idle"  # nothing on it for too long
-    SILENT = "silent"  # an answer that was due never came
-    REPLACED = "replaced"  # the machine behind it is no longer wanted or has a new address
-    ANSWERED = "answered"  # one call to a connection, and it has its answer
-    QUIESCED = "quiesced"  # idle, and this process is being emptied
-    SLOW = "slow"  # no whole message came in time
-    EVICTED = "evicted"  # idle, and another wanted its place
-    LIMIT = "limit"  # more connections than this process may hold
+    PEER_CLOSED = "peer_closed"  # the peer closed the connection normally
+    PEER_RESET = "peer_reset"  # the peer reset the connection
+    REFUSED = "refused"  # connection refused: nothing listens there
+    CONNECT_TIMEOUT = "connect_timeout"  # not established in time
+    WRITE_TIMEOUT = "write_timeout"  # the peer stopped reading
+    OVERFLOW = "overflow"  # too much unsent or unread data
+    MALFORMED = "malformed"  # received data that cannot be framed
+    IDLE = "idle"  # unused for too long
+    SILENT = "silent"  # an expected answer never came
+    REPLACED = "replaced"  # the peer was removed or has a new address
+    ANSWERED = "answered"  # one request per connection, and it was answered
+    QUIESCED = "quiesced"  # idle while this process is being drained
+    SLOW = "slow"  # no complete message in time
+    EVICTED = "evicted"  # idle, closed in favour of a new connection
+    LIMIT = "limit"  # the connection or descriptor limit was reached
     SHUTDOWN = "shutdown"  # this process ends
-    ERROR = "error"  # a fault of this program; the traceback is in the log
+    ERROR = "error"  # an internal error; the log has the traceback
--- a/tests/test_board_restarts.py
+++ b/tests/test_board_restarts.py
@@ -64,7 +64,7 @@
         self.assertEqual(told, [{"a": DRAINING}, {"a": GONE}])
 
     async def test_a_list_that_stays_older_has_begun_to_count_anew_and_is_taken_in_the_end(self) -> None:
-        with mock.patch.object(module, "LATE", 0.0):
+        with mock.patch.object(module, "MAX_LAG", 0.0):
             stand, told = await self.play(
                 listed(9, 9, ("a", "Ready"), complete=True),
                 {"rev": 2, "notices": []},
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -70,7 +70,7 @@
     async def until_quiet(self, daemon: Any, desk: ScriptedDesk) -> None:
         """The server reads what was written to it so far, and no set-up is in it."""
         (link,) = daemon.desks.links.values()
-        link.open[-1].send(sip_request("OPTIONS", "end").encode())
+        link.connections[-1].send(sip_request("OPTIONS", "end").encode())
         while (message := await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)).method != "OPTIONS":
             self.assertNotEqual(message.method, "INVITE")
 
@@ -120,8 +120,8 @@
         caller.send(sip_request("CANCEL", ID))
         await self.eventually(lambda: not daemon.agent.lives)
         up.set()
-        await self.eventually(lambda: daemon.desks.links["d0"].open)
-        daemon.desks.links["d0"].open[-1].send(sip_request("OPTIONS", "end").encode())
+        await self.eventually(lambda: daemon.desks.links["d0"].connections)
+        daemon.desks.links["d0"].connections[-1].send(sip_request("OPTIONS", "end").encode())
         first = await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)
         self.assertEqual(first.method, "OPTIONS")  # and nothing before it
 
@@ -162,7 +162,7 @@
                 raise RuntimeError("a fault")
             return await real(*told)
 
-        with mock.patch.object(keeper, "connect", faulty), mock.patch.object(keeper, "RETRY_MOST", 0.01):
+        with mock.patch.object(keeper, "connect", faulty), mock.patch.object(keeper, "RETRY_MAX", 0.01):
             await self.start(desk)
         self.assertEqual([one["where"] for one in self.events("fault")], ["desk"])
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 from seamlb.daemon import Daemon
 from seamlb.fronts.calls import Client
 from seamlb.net.connection import MAX_UNSENT_CLIENT
-from seamlb.net.descriptors import CLIENT_LEAST, OWN, max_caller_connections, max_management_connections
+from seamlb.net.descriptors import MIN_CALLER_SHARE, RESERVED, max_caller_connections, max_management_connections
 from seamlb.net.dial import ConnectError, connect
 from seamlb.net.reason import CloseReason
 from tests.http_peers import ScriptedHttpServer, http, notices
@@ -31,8 +31,8 @@
 def test_what_is_kept_back_is_never_the_callers(total: int, servers: int) -> None:
     operators = max_management_connections(total, 32)
     clients = max_caller_connections(total, servers, operators)
-    assert clients >= int(total * CLIENT_LEAST), "the platform's callers hold as many"
-    assert clients + operators + OWN + 2 * servers <= total or clients == int(total * CLIENT_LEAST)
+    assert clients >= int(total * MIN_CALLER_SHARE), "the platform's callers hold as many"
+    assert clients + operators + RESERVED + 2 * servers <= total or clients == int(total * MIN_CALLER_SHARE)
 
 
 class Crowded(ProcessStory):
--- a/tests/test_desk_silence.py
+++ b/tests/test_desk_silence.py
@@ -5,7 +5,7 @@
 
 from seamlb import api
 from seamlb.daemon import Daemon
-from seamlb.desks.keeper import QUIET, RETRY_MOST, UNREACHABLE
+from seamlb.desks.keeper import CALL_SILENCE, RETRY_MAX, UNREACHABLE_AFTER
 from seamlb.net.connection import Connection
 from seamlb.net.dial import ConnectError
 from seamlb.net.reason import CloseReason
@@ -42,8 +42,9 @@
         heard.send(STATE)
         told = asyncio.get_running_loop().time()
         self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
-        self.assertGreater(asyncio.get_running_loop().time() - told, UNREACHABLE - 0.1)  # its calls had that long
-        self.assertLess(UNREACHABLE + RETRY_MOST + daemon.config.connect_timeout, 8.0)
+        # The calls were kept for that long.
+        self.assertGreater(asyncio.get_running_loop().time() - told, UNREACHABLE_AFTER - 0.1)
+        self.assertLess(UNREACHABLE_AFTER + RETRY_MAX + daemon.config.connect_timeout, 8.0)
 
     async def test_a_desk_that_drains_refuses_connections_and_keeps_its_calls(self) -> None:
         desk, _, caller = await self.standing()
@@ -56,7 +57,7 @@
     async def test_a_quiet_desk_with_calls_is_tested_and_its_calls_stay(self) -> None:
         desk, daemon, caller = await self.standing()
         await self.eventually(lambda: len(desk.peers) == 2)  # told its state on the new one: it lives
-        await self.eventually(lambda: len(daemon.desks.links["d0"].open) == 1)
+        await self.eventually(lambda: len(daemon.desks.links["d0"].connections) == 1)
         desk.peers[1].send(bye("00000000000000a1", 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
@@ -69,7 +70,7 @@
         await self.eventually(lambda: len(desk.peers) == 2)
         await ScriptedDesk().script(desk.peers[0], sent)  # only slow: the first still counts
         self.assertEqual((await caller.until(200)).body, SDP)
-        self.assertEqual(len(daemon.desks.links["d0"].open), 2)
+        self.assertEqual(len(daemon.desks.links["d0"].connections), 2)
 
     async def test_a_connection_that_comes_up_late_costs_no_call_at_a_desk_that_refuses_all_others(self) -> None:
         # One that took over 0.5 s had the open one closed, and the refusal after it cut calls that stood: live ones,
@@ -102,11 +103,11 @@
 
         link = daemon.desks.links["d0"]
         with mock.patch("seamlb.desks.keeper.connect", connect):
-            await self.eventually(lambda: link.dead)
-            self.assertGreater(asyncio.get_running_loop().time() - link.open[-1].last_read, QUIET)
+            await self.eventually(lambda: link.unreachable)
+            self.assertGreater(asyncio.get_running_loop().time() - link.connections[-1].last_read, CALL_SILENCE)
             caller.send(invite("00000000000000a2"))
             self.assertEqual((await caller.next()).status, 503)
             desk.peers[0].send(STATE)
-            await self.eventually(lambda: not link.dead)
+            await self.eventually(lambda: not link.unreachable)
             caller.send(invite("00000000000000a3"))
             self.assertEqual((await caller.next()).status, 200)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -216,7 +216,7 @@
 
     async def test_an_attempt_counts_once_its_last_byte_is_out(self) -> None:
         daemon = await self.serve(ScriptedDesk())
-        (connection,) = daemon.desks.links["d0"].open
+        (connection,) = daemon.desks.links["d0"].connections
         with mock.patch.object(connection.stream, "write_to_fd", return_value=0):  # the desk takes nothing more
             caller = await self.caller()
             caller.send(invite())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -88,7 +88,7 @@
         self.assertEqual(len(daemon.front.clients), 3)
 
     async def test_a_message_must_be_whole_in_time_but_between_messages_a_caller_may_wait(self) -> None:
-        with mock.patch.object(connection, "MESSAGE_WITHIN", 0.05):
+        with mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.05):
             await self.start(ScriptedDesk())
             callers = [await self.caller() for _ in range(4)]
             whole = sip_request("OPTIONS", "t").encode()
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -4,7 +4,7 @@
 import time
 from unittest import mock
 
-from seamlb.desks.link import DEAF
+from seamlb.desks.link import STATE_SPREAD
 from seamlb.net import connection
 from seamlb.protocol.sip import Message
 from tests.loopback import SDP, DaemonTestCase, ScriptedDesk, bye, invite, never_answer, reply, sip_request
@@ -43,7 +43,7 @@
         answer = reply(await desk.until("INVITE"), 200, body=SDP).encode()
         desk.peers[0].send(answer[:30])
         (link,) = daemon.desks.links.values()
-        await self.eventually(link.open[0].in_use)
+        await self.eventually(link.connections[0].in_use)
         desk.peers[0].send(answer[30:])
         time.sleep(0.4)
         self.assertEqual((await caller.next()).status, 200)
@@ -51,7 +51,7 @@
 
     async def test_a_set_up_whose_rest_came_meanwhile_is_answered(self) -> None:
         # Guards callers from the same timer on their side.
-        self.enterContext(mock.patch.object(connection, "MESSAGE_WITHIN", 0.2))
+        self.enterContext(mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.2))
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
         whole = invite().encode()
@@ -68,21 +68,21 @@
         caller = await self.caller()
         caller.send(invite())
         answer = reply(await desk.until("INVITE"), 200, body=SDP)
-        await asyncio.sleep(2 * DEAF)  # the first connection has been quiet for longer than that
+        await asyncio.sleep(2 * STATE_SPREAD)  # the first connection has been quiet for longer than that
         (link,) = daemon.desks.links.values()
-        await self.eventually(lambda: len(link.open) == 2)  # as the set-up has no answer, another one tests it
-        told = mock.Mock(wraps=link.state_told)
-        with mock.patch.object(link, "state_told", told):
+        await self.eventually(lambda: len(link.connections) == 2)  # as the set-up has no answer, another one tests it
+        told = mock.Mock(wraps=link.state_reported)
+        with mock.patch.object(link, "state_reported", told):
             desk.peers[1].send(state())
             await self.eventually(lambda: told.called)
         desk.peers[0].send(answer)
-        time.sleep(3 * DEAF)
+        time.sleep(3 * STATE_SPREAD)
         self.assertEqual((await caller.next()).status, 200)
         self.assertNotIn("silent", [one["reason"] for one in self.events("connection_end")])
 
     async def test_a_message_that_stays_half_is_still_ended_in_time(self) -> None:
         # A byte that came meanwhile gives the rest no more than a moment.
-        self.enterContext(mock.patch.object(connection, "MESSAGE_WITHIN", 0.2))
+        self.enterContext(mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.2))
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
         whole = sip_request("OPTIONS", "t").encode()
@@ -93,5 +93,5 @@
         time.sleep(0.3)
         with self.assertRaises(EOFError):
             await caller.next()
-        self.assertLess(time.monotonic() - began, 0.3 + connection.MESSAGE_WITHIN)
+        self.assertLess(time.monotonic() - began, 0.3 + connection.MESSAGE_TIMEOUT)
         self.assertEqual(self.events("connection_end")[-1]["reason"], "slow")
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -23,7 +23,8 @@
 
 
 class Faults(DaemonTestCase):
-    @mock.patch("seamlb.desks.reader.PART_WITHIN", HANG_TIMEOUT)  # on a busy machine a dripping answer takes longer
+    # On a busy machine an answer that is sent in single bytes takes longer than the timeout.
+    @mock.patch("seamlb.desks.reader.PARTIAL_MESSAGE_TIMEOUT", HANG_TIMEOUT)
     async def test_a_whole_exchange_in_single_bytes(self) -> None:
         async def drip(peer: Peer, *messages: Message) -> None:
             for data in (message.encode() for message in messages):
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from seamlb import api
-from seamlb.desks.keeper import UNREACHABLE
+from seamlb.desks.keeper import UNREACHABLE_AFTER
 from seamlb.desks.link import Link
 from seamlb.net.dial import connect
 from seamlb.net.reason import CloseReason
@@ -138,7 +138,7 @@
         daemon = await self.start(desk, other)
         caller = await self.caller()
         caller.send(invite(timer=9000))
-        await self.eventually(lambda: len(daemon.desks.links["d0"].open) == 2)
+        await self.eventually(lambda: len(daemon.desks.links["d0"].connections) == 2)
         state = [("Call-ID", "0"), ("CSeq", "1 NOTIFY"), ("X-Occupancy", "idle:4;circuits:5")]
         desk.peers[1].send(Message("NOTIFY", "sip:exchange@net", headers=state))
         self.assertEqual((await caller.until(200)).body, SDP)
@@ -152,9 +152,9 @@
         caller.send(invite())
         await caller.until(200)
         link = daemon.desks.links["d0"]
-        (first,) = link.open
-        first.message_within = HANG_TIMEOUT
-        link.open.append(await connect(desk.address, "desk", HANG_TIMEOUT))
+        (first,) = link.connections
+        first.message_timeout = HANG_TIMEOUT
+        link.connections.append(await connect(desk.address, "desk", HANG_TIMEOUT))
         release = bye(ID, 16).encode()
         sent = 40 if half_read else len(release)
         desk.peers[0].send(release[:sent])
@@ -172,9 +172,9 @@
         # The connection carried no set-up and was closed, and the release, which is sent once, was lost.
         later = asyncio.get_running_loop().time() + 1.0
         ways: dict[str, Callable[[Link], object]] = {
-            "it is idle": lambda link: link.free_idle(CloseReason.SILENT),
-            "the state came on another": lambda link: link._close_deaf(later),
-            "there are too many": lambda link: link.keeper._make_room(),
+            "it is idle": lambda link: link.close_idle(CloseReason.SILENT),
+            "the state came on another": lambda link: link._close_stalled(later),
+            "there are too many": lambda link: link.manager._close_unused(),
         }
         for way, replace in ways.items():
             for half_read in (True, False):
@@ -184,7 +184,7 @@
     async def test_a_release_that_came_while_this_process_stood_still_is_read_first(self) -> None:
         later = asyncio.get_running_loop().time() + 1.0
         await self.release_beside(
-            False, lambda link: link.keeper._unreachable(CloseReason.SILENT, later + UNREACHABLE)
+            False, lambda link: link.manager._connect_failed(CloseReason.SILENT, later + UNREACHABLE_AFTER)
         )
 
     async def test_nothing_is_written_to_a_connection_that_the_desk_has_ended_already(self) -> None:
@@ -192,7 +192,7 @@
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         heard: list[object] = []
-        request = daemon.front._read(invite(), ID)
+        request = daemon.front._parse_request(invite(), ID)
         desk.peers[0].writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # our loop has not seen it yet
         daemon.desks.set_up(Attempt(request, 0, "d0", 3000.0), lambda leg, what: heard.append(what))
         await self.eventually(lambda: heard)
@@ -205,10 +205,10 @@
         caller = await self.caller()
         caller.send(invite(timer=9000))
         self.assertEqual((await caller.until(200)).body, SDP)
-        self.assertTrue(daemon.desks.links["d0"].dead)
+        self.assertTrue(daemon.desks.links["d0"].unreachable)
         seen = len(hangs.peers)
         caller.send(invite("00000000000000a2"))  # goes on at once, not at the next try to connect
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a2")
         hangs.mute = False
-        await self.eventually(lambda: not daemon.desks.links["d0"].dead)
+        await self.eventually(lambda: not daemon.desks.links["d0"].unreachable)
         self.assertGreater(len(hangs.peers), seen)
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -62,7 +62,7 @@
         caller.renew()
         caller.sent = caller.build("INVITE", number="slow")
         caller.peer.send(caller.sent)
-        await self.eventually(lambda: any(leg.rung for leg in daemon.desks.legs.values()))
+        await self.eventually(lambda: any(leg.provisional for leg in daemon.desks.legs.values()))
         caller.peer.send(caller.build("CANCEL", number="slow"))
         self.assertEqual((await caller.peer.until(200)).cseq()[1], "CANCEL")
         self.assertEqual((await caller.final()).status, 487)
