--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Open-loop callers, and what became of every call."""
+"""Open-loop callers that record the outcome of every call."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from tests.loopback import Peer, invite, sip_request
 
-WITHIN = 6.0  # seconds for a final answer: the longest that a caller here is patient
+FINAL_TIMEOUT = 6.0  # seconds to the final answer
 
 
 class OpenLoopCallers:
-    """Open-loop callers, a connection each: what became of every call."""
+    """Open-loop callers with a connection per call; `outcomes` counts how the calls ended."""
 
-    def __init__(self, listens: Sequence[str], rate: float, seed: int = 1, dests: int = 1) -> None:
+    def __init__(self, addresses: Sequence[str], rate: float, seed: int = 1, dests: int = 1) -> None:
         self.dests = dests  # pools of first choice
-        self.listens, self.rate, self.rng = listens, rate, random.Random(seed)
+        self.addresses, self.rate, self.rng = addresses, rate, random.Random(seed)
         self.outcomes: Counter[str] = Counter()  # fulfilled, refused, failed, lost, doubled
         self.outcomes_by_class: Counter[tuple[str, str]] = Counter()
         self.lost: list[str] = []
@@ -27,35 +27,35 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(self.rng.expovariate(self.rate))
-            task = asyncio.create_task(self._call(self.rng.choice(self.listens)))
+            task = asyncio.create_task(self._call(self.rng.choice(self.addresses)))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _call(self, listen: str) -> None:
-        ident, kind = f"{self.rng.getrandbits(64):016x}", self.rng.choice("ab")
+    async def _call(self, address: str) -> None:
+        ident, class_name = f"{self.rng.getrandbits(64):016x}", self.rng.choice("ab")
         peer = None
         try:
-            async with asyncio.timeout(WITHIN):
-                peer = await Peer.connect(listen)
-                peer.send(invite(ident, dest=self.rng.randrange(self.dests), timer=3000, call_class=kind))
+            async with asyncio.timeout(FINAL_TIMEOUT):
+                peer = await Peer.connect(address)
+                peer.send(invite(ident, dest=self.rng.randrange(self.dests), timer=3000, call_class=class_name))
                 final = await peer.next()
                 if final.status == 200:
                     peer.send(sip_request("ACK", ident))
                     await asyncio.sleep(0.02)
                     peer.send(sip_request("BYE", ident))
-            end = {200: "fulfilled", 503: "refused", 500: "failed"}.get(final.status, str(final.status))
+            outcome = {200: "fulfilled", 503: "refused", 500: "failed"}.get(final.status, str(final.status))
             if any(one.status and one.get("call-id") == ident and one.cseq()[1] == "INVITE" for one in peer.ready):
-                end = "doubled"
+                outcome = "doubled"
         except (OSError, EOFError, TimeoutError) as error:
-            end = "lost"
-            self.lost.append(f"{ident} {kind} at {listen}: {error!r}")
+            outcome = "lost"
+            self.lost.append(f"{ident} {class_name} at {address}: {error!r}")
         finally:
             if peer:
                 peer.close()
-        self.outcomes[end] += 1
-        self.outcomes_by_class[kind, end] += 1
+        self.outcomes[outcome] += 1
+        self.outcomes_by_class[class_name, outcome] += 1
 
     async def stop(self) -> None:
-        """Ask no more, and wait for what is open."""
+        """Start no more calls and wait for the open ones."""
         self.task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/tests/http_peers.py
+++ b/tests/http_peers.py
@@ -1,4 +1,4 @@
-"""A scripted HTTP server, and the answers that discovery gives."""
+"""A scripted HTTP server, and the responses of the notice board and Consul."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ScriptedHttpServer:
-    """An HTTP server whose handler gives each answer's bytes; None closes the connection."""
+    """An HTTP server whose handler returns the bytes of each response, or None to close the connection."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler = handler
@@ -55,15 +55,15 @@
 
 
 class DiscoveryTestCase(DaemonTestCase):
-    """Stories in which a list is followed."""
+    """Base class of tests that follow a list of desks."""
 
-    async def follow(self, member: Discovery, stand: ScriptedHttpServer) -> None:
-        """Follow the list that the server tells until the story ends."""
-        following = asyncio.create_task(member.run())
+    async def follow(self, discovery: Discovery, server: ScriptedHttpServer) -> None:
+        """Follow the list of the server until the test ends."""
+        following = asyncio.create_task(discovery.run())
 
         async def stop() -> None:
             following.cancel()
             await asyncio.gather(following, return_exceptions=True)
-            stand.server.close()
+            server.server.close()
 
         self.addAsyncCleanup(stop)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""The one helper of the network tests: scripted peers over loopback sockets, and an agent between them."""
+"""Helpers of the network tests: scripted peers over loopback sockets, with an agent between them."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from seamlb.routing.model import Desk
 from tests.support import RAW
 
-HANG_TIMEOUT = 20.0  # only ends a test that hangs; no test measures it
+HANG_TIMEOUT = 20.0  # seconds; only ends a test that hangs
 
 
 SDP = b"v=0 \xff\x00 byte for byte\r\n"
 
 
 class Peer:
-    """One TCP connection of a scripted peer: sends messages, takes what comes in order."""
+    """One TCP connection of a scripted peer, which sends messages and returns received ones in order."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -37,7 +37,7 @@
 
     @classmethod
     async def connect_and_send(cls, address: str, message: Message) -> Peer:
-        """Connect and send before this loop, which is also the agent's, can accept the connection."""
+        """Connect and send before the agent, which runs in the same event loop, can accept the connection."""
         host, _, port = address.rpartition(":")
         connected = socket.create_connection((host, int(port)))
         connected.sendall(message.encode())
@@ -47,7 +47,7 @@
         self.writer.write(message if isinstance(message, bytes) else message.encode())
 
     async def next(self) -> Message:
-        """The next message; EOFError at the end."""
+        """Return the next message; raises EOFError at the end of the stream."""
         while not self.ready:
             data = await asyncio.wait_for(self.reader.read(65536), HANG_TIMEOUT)
             if not data:
@@ -56,11 +56,11 @@
             self.ready += [one for one in self.framer.messages() if isinstance(one, Message)]
         return self.ready.pop(0)
 
-    async def until(self, what: str | int) -> Message:
-        """Pass over messages until one of that method or status."""
+    async def until(self, expected: str | int) -> Message:
+        """Return the next message with this method or status, and skip those before it."""
         while True:
             message = await self.next()
-            if what in (message.method, message.status):
+            if expected in (message.method, message.status):
                 return message
 
     def close(self) -> None:
@@ -74,12 +74,12 @@
 
 
 class ScriptedDesk:
-    """A desk of the platform's dialect: tells its group's state, then plays its script for each INVITE."""
+    """A desk with the platform's dialect: it reports its state on each connection and runs a script per INVITE."""
 
     def __init__(self, script: Script | None = None, report: str = "idle:5;circuits:5") -> None:
         self.script, self.report = script or answer, report
-        self.mute = False  # takes connections and says nothing on them
-        self.parting = b""  # sent once the other side has ended the connection
+        self.hangs = False  # accepts connections and sends nothing on them
+        self.farewell = b""  # sent once the peer has ended the connection
         self.peers: list[Peer] = []
         self.received: asyncio.Queue[Message] = asyncio.Queue()
 
@@ -91,7 +91,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = Peer(reader, writer)
         self.peers.append(peer)
-        if self.mute:
+        if self.hangs:
             return
         state = [("Call-ID", "0"), ("CSeq", "1 NOTIFY"), ("X-Occupancy", self.report)]
         peer.send(Message("NOTIFY", "sip:exchange@net", headers=state))
@@ -102,7 +102,7 @@
                 if message.method == "INVITE":
                     await self.script(peer, message)
         except (EOFError, OSError, asyncio.CancelledError):
-            writer.write(self.parting)
+            writer.write(self.farewell)
             writer.close()
 
     async def until(self, method: str) -> Message:
@@ -118,7 +118,7 @@
 
 
 def reply(invite: Message, status: int, *extra: tuple[str, str], body: bytes = b"") -> Message:
-    """As the platform's desks write it: the id, and a CSeq number of their own."""
+    """Build a response like the platform's desks: with the Call-ID, and with a CSeq number of their own."""
     headers = [("Call-ID", invite.get("call-id")), ("CSeq", "1 INVITE"), *extra]
     return Message(status=status, reason="X", headers=headers, body=body)
 
@@ -135,7 +135,7 @@
 
 
 async def never_answer(peer: Peer, invite: Message) -> None:
-    """Say nothing to a set-up."""
+    """Do not respond to a set-up."""
 
 
 def bye(ident: str, cause: int) -> Message:
@@ -169,18 +169,18 @@
 
 
 def config(**change: Any) -> Config:
-    """A checked configuration whose settings may be changed by top-level key."""
+    """Build a validated configuration; `settings` overrides top-level keys of the default settings."""
     settings = dict(RAW) | change.pop("settings", {})
     told = change.pop("told", Told())
     return read({"listen": "127.0.0.1:0", "seed": "1", "settings": settings, **change}, told)
 
 
-class Stops(Protocol):
+class Stoppable(Protocol):
     async def stop(self) -> None: ...
 
 
 class DaemonTestCase(unittest.IsolatedAsyncioTestCase):
-    """A daemon's parts between scripted desks and callers; logs go to `self.logged`."""
+    """Base class of tests with a daemon between scripted desks and callers; `self.logged` has its log events."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -197,32 +197,32 @@
         return [one for one in self.logged if one["event"] == name]
 
     async def start(self, *desks: ScriptedDesk, **change: Any) -> Daemon:
-        """An agent whose list names these desks, pools 0, 1, 2 in order."""
+        """Start an agent with these desks, which belong to pools 0, 1, 2 in this order."""
         daemon = Daemon(config(**change))
         self.addAsyncCleanup(self._stop, daemon, desks)
         daemon.front.start()
         daemon.lifecycle.started(0.0)
         self.address = f"127.0.0.1:{daemon.front.listener.port}"
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(k, await d.start()) for k, d in enumerate(desks)])
-        for place, one in enumerate(desks):
-            await self.eventually(lambda one=one: one.peers)
-            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
-            self.fill_budget(daemon, place)
+        for pool, desk in enumerate(desks):
+            await self.eventually(lambda desk=desk: desk.peers)
+            await self.eventually(lambda pool=pool: daemon.agent.module.node.fleet.servers[pool].reported_at > 0)
+            self.fill_budget(daemon, pool)
         return daemon
 
-    async def _stop(self, daemon: Daemon, desks: tuple[Stops, ...]) -> None:
+    async def _stop(self, daemon: Daemon, desks: tuple[Stoppable, ...]) -> None:
         await daemon.close()
         for desk in desks:
             await desk.stop()
 
     @staticmethod
-    def desk(place: int, address: str, phase: int = 1, since: float = 0.0) -> Desk:
-        return Desk(f"d{place}", address, 0, place, phase, since)
+    def desk(pool: int, address: str, phase: int = 1, since: float = 0.0) -> Desk:
+        return Desk(f"d{pool}", address, 0, pool, phase, since)
 
     @staticmethod
-    def fill_budget(daemon: Daemon, place: int) -> None:
-        """Give a desk its full budget, which begins at random: the stories are not about rule 4."""
-        core = daemon.agent.module.node.fleet.servers[place]
+    def fill_budget(daemon: Daemon, pool: int) -> None:
+        """Fill the token budget of a desk, which starts at a random level: these tests are not about rule 4."""
+        core = daemon.agent.module.node.fleet.servers[pool]
         core.cold_from, core.tokens = float("-inf"), 2.0
 
     async def caller(self) -> Peer:
@@ -230,7 +230,7 @@
         self.addCleanup(peer.close)
         return peer
 
-    async def eventually(self, true: Callable[[], Any]) -> None:
+    async def eventually(self, condition: Callable[[], Any]) -> None:
         async with asyncio.timeout(HANG_TIMEOUT):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.005)
--- a/tests/sip_peers.py
+++ b/tests/sip_peers.py
@@ -1,4 +1,4 @@
-"""Scripted SIP telephones and SIP servers over UDP and TCP."""
+"""Scripted SIP phones and SIP desks over UDP and TCP."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SipCaller:
-    """A SIP telephone over UDP or TCP, one call at a time, from the public specification."""
+    """A SIP phone over UDP or TCP with one call at a time, implemented from RFC 3261."""
 
     count = 0
 
@@ -33,7 +33,7 @@
         return cls(peer, transport, "{}:{}".format(*peer.writer.get_extra_info("sockname")))
 
     def renew(self) -> None:
-        """Forget the last call."""
+        """Start a new call: new Call-ID, tags and target."""
         SipCaller.count += 1
         self.call, self.tag, self.to = f"call{self.count}", f"t{self.count}", "<sip:desk@net>"
         self.target = "sip:desk@net"
@@ -61,7 +61,7 @@
         )
 
     async def invite(self, number: str = "ok", *extra: tuple[str, str]) -> Message:
-        """Set a call up; its final answer, acknowledged."""
+        """Set up a call, acknowledge its final answer and return it."""
         self.renew()
         self.sent = self.build("INVITE", *extra, number=number)
         self.peer.send(self.sent)
@@ -88,11 +88,11 @@
 
 
 class SipDesk:
-    """A SIP desk over UDP or TCP: what it does with a set-up is told by the number called."""
+    """A SIP desk over UDP or TCP; the number called selects how it handles a set-up."""
 
     def __init__(self) -> None:
         self.received: list[Message] = []
-        self.hold: dict[str, Message] = {}
+        self.invites: dict[str, Message] = {}
         self.peer: Peer | UdpPeer | None = None
 
     async def start(self, transport: str) -> str:
@@ -115,11 +115,11 @@
             while True:
                 message = await peer.next()
                 self.received.append(message)
-                if message.method == "INVITE" and self.methods().count("INVITE") > len(self.hold):
+                if message.method == "INVITE" and self.methods().count("INVITE") > len(self.invites):
                     self._invite(peer, message)
                 elif message.method == "CANCEL":
                     peer.send(response(message, 200, tag="desk"))
-                    if (held := self.hold.get(message.get("call-id"))) and held.uri.startswith("sip:slow"):
+                    if (held := self.invites.get(message.get("call-id"))) and held.uri.startswith("sip:slow"):
                         peer.send(response(held, 487, tag="desk"))
                 elif message.method == "BYE":
                     peer.send(response(message, 200))
@@ -127,7 +127,7 @@
             peer.close()
 
     def _invite(self, peer: Peer | UdpPeer, message: Message) -> None:
-        self.hold[message.get("call-id")] = message
+        self.invites[message.get("call-id")] = message
         number = message.uri[4:].partition("@")[0]
         peer.send(response(message, 100))
         if number.startswith("ok"):
@@ -143,7 +143,7 @@
         self.peer.send(response(message, 200, contact, body=SDP, tag="desk"))
 
     def bye(self, ident: str) -> None:
-        held = self.hold[ident]
+        held = self.invites[ident]
         contact = held.get("contact").partition("<")[2].partition(">")[0]
         self.peer.send(
             Message(
@@ -172,17 +172,17 @@
 
 
 class SipTestCase(DaemonTestCase):
-    """A daemon whose callers and servers speak SIP."""
+    """Base class of tests with SIP callers and a SIP desk."""
 
     async def start_sip(self, transport: str = "udp", front: dict[str, Any] | None = None, **change: Any) -> Daemon:
-        """An agent with the sip front on UDP and TCP, before one sip desk of pool 0."""
-        self.standin = SipDesk()
-        address = await self.standin.start(transport)
-        own = {"udp": "127.0.0.1:0", "tcp": "127.0.0.1:0"}
-        sip = SipFrontConfig(**own, default_class="a", **(front or {}))
-        plugins = Plugins(sip=sip, desks=SipDesksConfig(transport, **own), hook=change.pop("hook", ""))
+        """Start an agent with the SIP front on UDP and TCP and one SIP desk of pool 0."""
+        self.sip_desk = SipDesk()
+        address = await self.sip_desk.start(transport)
+        addresses = {"udp": "127.0.0.1:0", "tcp": "127.0.0.1:0"}
+        sip = SipFrontConfig(**addresses, default_class="a", **(front or {}))
+        plugins = Plugins(sip=sip, desks=SipDesksConfig(transport, **addresses), hook=change.pop("hook", ""))
         daemon = Daemon(config(**change), plugins)
-        self.addAsyncCleanup(self._stop, daemon, (self.standin,))
+        self.addAsyncCleanup(self._stop, daemon, (self.sip_desk,))
         await daemon.start()
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(0, address)])
         self.fill_budget(daemon, 0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""What crosses in one turn of the loop: a caller that goes, a server that drains, the end of a connection."""
+"""Events that cross each other: cancels, draining servers, the end of a connection."""
 
 import asyncio
 import socket
@@ -28,9 +28,9 @@
 ID = "00000000000000a1"
 
 
-class CallersThatGo(DaemonTestCase):
+class CancelCrossings(DaemonTestCase):
     async def open_call(self) -> tuple[Any, ScriptedDesk, Peer, Any]:
-        """A daemon, a server that says nothing, a caller, and its call with an attempt out."""
+        """Return a daemon, a server that never answers, a caller, and its session with an attempt in progress."""
         desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
@@ -39,18 +39,18 @@
         (life,) = daemon.agent.lives.values()
         return daemon, desk, caller, life
 
-    async def test_no_attempt_begins_for_a_caller_whose_cancel_is_behind_the_decision(self) -> None:
+    async def test_no_attempt_starts_if_the_cancel_follows_the_decision_in_the_same_turn(self) -> None:
         daemon, desk, _, life = await self.open_call()
-        life.news.put_nowait(ended(life, api.Status.RESET))  # barred for 300 ms
+        life.news.put_nowait(ended(life, api.Status.RESET))  # no new attempt for 300 ms
         await self.eventually(lambda: life.attempt is None)
-        # the bar is over, and in the same turn of the loop
+        # the 300 ms are over, and in the same turn of the event loop
         life.news.put_nowait(api.SendSetUp(life.number, 0, 1000.0))
-        daemon.agent.caller_left(life)  # the caller goes
+        daemon.agent.caller_left(life)  # the caller cancels
         await self.eventually(lambda: not daemon.agent.lives)
-        await self.until_quiet(daemon, desk)
+        await self.assert_no_set_up(daemon, desk)
         self.assertEqual(self.events("call_end")[-1]["result"], "left")
 
-    async def test_a_caller_that_cancels_as_the_answer_comes_is_told_nothing_and_the_call_is_released(self) -> None:
+    async def test_a_cancel_in_the_same_turn_as_the_answer_suppresses_it_and_releases_the_call(self) -> None:
         daemon, desk, caller, life = await self.open_call()
         life.news.put_nowait(answered(life))
         daemon.agent.caller_left(life)
@@ -58,17 +58,17 @@
         caller.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await caller.next()).get("call-id"), "t")  # and no answer before it
 
-    async def test_a_caller_that_cancels_in_the_bar_is_not_sent_on(self) -> None:
+    async def test_a_cancel_while_the_call_is_barred_prevents_the_next_attempt(self) -> None:
         daemon, desk, caller, life = await self.open_call()
-        life.news.put_nowait(ended(life, api.Status.RESET))  # barred for 300 ms
+        life.news.put_nowait(ended(life, api.Status.RESET))  # no new attempt for 300 ms
         await self.eventually(lambda: life.attempt is None)
         caller.send(sip_request("CANCEL", ID))
         await self.eventually(lambda: not daemon.agent.lives)
-        daemon.agent.tell(api.TimerFired(life.number))  # the bar is over
-        await self.until_quiet(daemon, desk)
+        daemon.agent.tell(api.TimerFired(life.number))  # the 300 ms are over
+        await self.assert_no_set_up(daemon, desk)
 
-    async def until_quiet(self, daemon: Any, desk: ScriptedDesk) -> None:
-        """The server reads what was written to it so far, and no set-up is in it."""
+    async def assert_no_set_up(self, daemon: Any, desk: ScriptedDesk) -> None:
+        """Assert that no set-up is among the messages written to the server so far."""
         (link,) = daemon.desks.links.values()
         link.connections[-1].send(sip_request("OPTIONS", "end").encode())
         while (message := await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)).method != "OPTIONS":
@@ -76,27 +76,27 @@
 
 
 def ended(life: Life, status: api.Status) -> Heard:
-    """The server's word that the attempt that is out has ended."""
+    """The update that the current attempt has ended."""
     assert life.attempt
     return Heard(life.attempt.leg, Outcome(status))
 
 
 def answered(life: Life) -> Heard:
-    """The server's answer to the attempt that is out."""
+    """The update that the current attempt was answered."""
     assert life.attempt
     return Heard(life.attempt.leg, Answer(SDP))
 
 
-class Servers(DaemonTestCase):
+class ServerCrossings(DaemonTestCase):
     async def waiting(self) -> tuple[Any, ScriptedDesk, Peer, asyncio.Event]:
-        """A daemon, a server, a caller whose set-up waits for the connection, and what lets that come up."""
-        desk, up = ScriptedDesk(), asyncio.Event()
+        """Return a daemon, a server, a caller whose set-up waits for the connection, and an event that opens it."""
+        desk, may_connect = ScriptedDesk(), asyncio.Event()
 
-        async def late(*told: Any) -> Connection:
-            await up.wait()
-            return await connect(*told)
+        async def delayed(*args: Any) -> Connection:
+            await may_connect.wait()
+            return await connect(*args)
 
-        self.enterContext(mock.patch.object(keeper, "connect", late))
+        self.enterContext(mock.patch.object(keeper, "connect", delayed))
         daemon = await self.start()
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(0, await desk.start())])
         self.addAsyncCleanup(desk.stop)
@@ -104,29 +104,29 @@
         caller = await self.caller()
         caller.send(invite())
         await self.eventually(lambda: daemon.desks.links["d0"].waiting)
-        return daemon, desk, caller, up
+        return daemon, desk, caller, may_connect
 
-    async def test_a_set_up_that_waits_for_a_connection_does_not_reach_a_server_that_drains_meanwhile(self) -> None:
-        daemon, desk, caller, up = await self.waiting()
-        drains = self.desk(0, desk.address, api.Availability.DRAINING)
-        daemon.agent.list_changed(api.Scope.DELTA, [drains])
-        up.set()
+    async def test_a_set_up_waiting_for_a_connection_does_not_reach_a_server_that_starts_draining(self) -> None:
+        daemon, desk, caller, may_connect = await self.waiting()
+        draining = self.desk(0, desk.address, api.Availability.DRAINING)
+        daemon.agent.list_changed(api.Scope.DELTA, [draining])
+        may_connect.set()
         self.assertEqual((await caller.next()).status, 503)
         await self.eventually(lambda: desk.peers)
         self.assertTrue(desk.received.empty())
 
-    async def test_a_caller_that_cancels_while_the_connection_comes_up_is_not_sent_on(self) -> None:
-        daemon, desk, caller, up = await self.waiting()
+    async def test_a_set_up_cancelled_while_the_connection_is_opened_is_not_sent(self) -> None:
+        daemon, desk, caller, may_connect = await self.waiting()
         caller.send(sip_request("CANCEL", ID))
         await self.eventually(lambda: not daemon.agent.lives)
-        up.set()
+        may_connect.set()
         await self.eventually(lambda: daemon.desks.links["d0"].connections)
         daemon.desks.links["d0"].connections[-1].send(sip_request("OPTIONS", "end").encode())
         first = await asyncio.wait_for(desk.received.get(), HANG_TIMEOUT)
         self.assertEqual(first.method, "OPTIONS")  # and nothing before it
 
-    async def test_a_release_that_a_new_server_sends_on_its_predecessors_connection_reaches_the_caller(self) -> None:
-        # The list is late: the old server is still listed, and its link has come up to the new process.
+    async def test_a_release_on_a_connection_of_the_servers_predecessor_reaches_the_caller(self) -> None:
+        # The list is late: the old server is still listed, and its link has connected to the new process.
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         daemon.agent.list_changed(api.Scope.DELTA, [self.desk(1, desk.address)])
@@ -140,36 +140,36 @@
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
         await self.eventually(lambda: not daemon.agent.lives)
 
-    async def test_an_answer_that_is_too_long_ends_the_attempt_and_another_server_takes_the_call(self) -> None:
-        async def long(peer: Peer, message: Message) -> None:
+    async def test_an_oversized_answer_ends_the_attempt_and_another_server_gets_the_call(self) -> None:
+        async def oversized(peer: Peer, message: Message) -> None:
             peer.send(reply(message, 200, body=b"x" * MAX_MESSAGE))
 
-        first, second = ScriptedDesk(long), ScriptedDesk()
+        first, second = ScriptedDesk(oversized), ScriptedDesk()
         await self.start(first, second)
         caller = await self.caller()
         caller.send(invite())
         self.assertEqual((await caller.until(200)).body, SDP)
         self.assertEqual(self.events("malformed")[0]["error"], "message too large")
 
-    async def test_a_fault_in_the_task_that_keeps_a_connection_does_not_leave_the_server_without_one(self) -> None:
+    async def test_an_exception_in_the_connection_manager_does_not_stop_it(self) -> None:
         desk = ScriptedDesk()
         real, tries = connect, 0
 
-        async def faulty(*told: Any) -> Connection:
+        async def faulty(*args: Any) -> Connection:
             nonlocal tries
             tries += 1
             if tries == 1:
                 raise RuntimeError("a fault")
-            return await real(*told)
+            return await real(*args)
 
         with mock.patch.object(keeper, "connect", faulty), mock.patch.object(keeper, "RETRY_MAX", 0.01):
             await self.start(desk)
         self.assertEqual([one["where"] for one in self.events("fault")], ["desk"])
 
 
-class Releases(DaemonTestCase):
-    async def standing(self) -> tuple[Any, ScriptedDesk, Peer, Peer]:
-        """A daemon, a server, a caller whose call stands there, and another that has asked for something."""
+class ReleaseCrossings(DaemonTestCase):
+    async def established_call(self) -> tuple[Any, ScriptedDesk, Peer, Peer]:
+        """Return a daemon, a server, a caller with an established call there, and another caller that was served."""
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         first, second = await self.caller(), await self.caller()
@@ -179,15 +179,15 @@
         await first.until(200)
         return daemon, desk, first, second
 
-    async def test_a_release_that_crossed_the_end_of_its_connection_is_told_on_another(self) -> None:
-        daemon, desk, first, second = await self.standing()
+    async def test_a_release_that_crossed_the_end_of_its_connection_is_sent_on_another(self) -> None:
+        daemon, desk, first, second = await self.established_call()
         desk.peers[0].send(bye(ID, 16))
         await self.eventually(lambda: not daemon.agent.lives)
-        first.close()  # it has read nothing of the release
+        first.close()  # without having read the release
         self.assertEqual((await second.until("BYE")).get("call-id"), ID)
 
-    async def test_a_release_that_was_heard_is_told_once(self) -> None:
-        daemon, desk, first, second = await self.standing()
+    async def test_a_confirmed_release_is_sent_once(self) -> None:
+        daemon, desk, first, second = await self.established_call()
         desk.peers[0].send(bye(ID, 16))
         first.send(reply_to_bye(await first.until("BYE")))
         first.send(sip_request("OPTIONS", "t"))
@@ -197,18 +197,18 @@
         second.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await second.next()).status, 200)
 
-    async def test_a_release_is_not_written_to_a_connection_that_has_ended_unseen(self) -> None:
-        daemon, _, first, second = await self.standing()
+    async def test_a_release_is_not_written_to_a_connection_the_peer_has_already_closed(self) -> None:
+        daemon, _, first, second = await self.established_call()
         (call,) = daemon.front.calls.values()
         first.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
-        with mock.patch.object(call.client.connection, "send") as sent:  # the loop has not come to its end yet
+        with mock.patch.object(call.client.connection, "send") as sent:  # the event loop has not seen the close yet
             call.released(16)
         self.assertFalse(sent.called)
         self.assertEqual((await second.until("BYE")).get("call-id"), ID)
 
 
 def reply_to_bye(message: Message) -> Message:
-    """The 200 to a release."""
+    """Build the 200 to a release."""
     answer = reply(message, 200)
     answer.headers = [(name, "1 BYE" if name == "CSeq" else value) for name, value in answer.headers]
     return answer
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: idle callers can't take those of discovery, servers and operators."""
+"""Descriptor limits: idle callers cannot use up those of discovery, servers and operators."""
 
 import asyncio
 import errno
@@ -22,29 +22,29 @@
 from tests.processes import ProcessStory
 from tests.support import RAW
 
-SOCKETS = 64  # that the process may have
-IDLE = 150  # callers that connect and say nothing
+SOCKETS = 64  # descriptor limit of the process
+IDLE_CALLERS = 150  # they connect and send nothing
 
 
 @pytest.mark.parametrize("total", [64, 96, 256, 512, 640, 4096])
 @pytest.mark.parametrize("servers", [1, 8, 24, 64])
-def test_what_is_kept_back_is_never_the_callers(total: int, servers: int) -> None:
-    operators = max_management_connections(total, 32)
-    clients = max_caller_connections(total, servers, operators)
-    assert clients >= int(total * MIN_CALLER_SHARE), "the platform's callers hold as many"
-    assert clients + operators + RESERVED + 2 * servers <= total or clients == int(total * MIN_CALLER_SHARE)
+def test_caller_connections_leave_the_reserved_descriptors_free(total: int, servers: int) -> None:
+    management = max_management_connections(total, 32)
+    clients = max_caller_connections(total, servers, management)
+    assert clients >= int(total * MIN_CALLER_SHARE), "callers always get their minimum share"
+    assert clients + management + RESERVED + 2 * servers <= total or clients == int(total * MIN_CALLER_SHARE)
 
 
-class Crowded(ProcessStory):
-    async def test_a_crowd_while_discovery_is_down_keeps_neither_it_nor_servers_nor_operators_out(self) -> None:
+class ManyIdleCallers(ProcessStory):
+    async def test_idle_callers_block_neither_discovery_nor_servers_nor_operators(self) -> None:
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
-        listen, operators, board = [await self.free_address() for _ in range(3)]
+        listen, management, board = [await self.free_address() for _ in range(3)]
         path.write_text(
             json.dumps(
                 {
                     "settings": RAW,
                     "listen": listen,
-                    "management": operators,
+                    "management": management,
                     "board": board,
                     "limits": {"sockets": SOCKETS},
                 }
@@ -53,15 +53,15 @@
         limited = f"ulimit -n {SOCKETS}; exec {self.python} -m seamlb serve --config {path}"
         agent = await self.process("-c", limited, program="sh")
         await self.line(agent, '"serving"')
-        agent.send_signal(signal.SIGSTOP)  # so that all of them wait to be accepted in one turn of its loop
-        crowd = [await Peer.connect(listen) for _ in range(IDLE)]
+        agent.send_signal(signal.SIGSTOP)  # so that all connections are accepted in one turn of its event loop
+        crowd = [await Peer.connect(listen) for _ in range(IDLE_CALLERS)]
         agent.send_signal(signal.SIGCONT)
-        self.assertEqual(await self.health(operators), 200)
+        self.assertEqual(await self.health(management), 200)
         desk = ScriptedDesk()
         address = await desk.start()
 
-        async def handler(stand: ScriptedHttpServer, asked: str) -> bytes | None:
-            if len(stand.paths) > 1:
+        async def handler(server: ScriptedHttpServer, path: str) -> bytes | None:
+            if len(server.paths) > 1:
                 await asyncio.Event().wait()
             listed: dict[str, Any] = notices(1, ("d", "Ready"), complete=True)
             listed["notices"][0]["pool"]["members"][0] |= {"host_port": address, "cell": 0}
@@ -70,21 +70,21 @@
         discovery = ScriptedHttpServer(handler)
         await discovery.start(int(board.rpartition(":")[2]))
         await self.eventually(lambda: desk.peers)
-        caller = await Peer.connect(listen)  # an idle one gives way
+        caller = await Peer.connect(listen)  # an idle one is evicted
         caller.send(invite())
         await caller.until(200)
         self.assertLessEqual(len(list(Path(f"/proc/{agent.pid}/fd").iterdir())), SOCKETS)
-        for one in (*crowd, caller):
-            one.close()
+        for peer in (*crowd, caller):
+            peer.close()
         agent.send_signal(signal.SIGTERM)
         lines, _ = await asyncio.wait_for(agent.communicate(), HANG_TIMEOUT)
         self.assertNotIn(b"Too many open files", lines)
         discovery.server.close()
         await desk.stop()
 
-    async def health(self, operators: str) -> int:
-        """The status that operators are answered with."""
-        host, _, port = operators.rpartition(":")
+    async def health(self, address: str) -> int:
+        """Return the HTTP status of the health check."""
+        host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n")
         head = await reader.readuntil(b"\r\n")
@@ -92,28 +92,28 @@
         return int(head.split(b" ")[1])
 
 
-class Exhausted(DaemonTestCase):
-    async def test_a_connection_without_a_descriptor_is_one_that_never_came_up(self) -> None:
-        none_left = OSError(errno.EMFILE, "Too many open files")
-        with mock.patch("socket.socket", side_effect=none_left), self.assertRaises(ConnectError) as failed:
+class NoDescriptorLeft(DaemonTestCase):
+    async def test_a_connect_without_a_free_descriptor_fails_with_limit(self) -> None:
+        no_descriptor = OSError(errno.EMFILE, "Too many open files")
+        with mock.patch("socket.socket", side_effect=no_descriptor), self.assertRaises(ConnectError) as failed:
             await connect("127.0.0.1:9", "desk", 1.0)
         self.assertIs(failed.exception.reason, CloseReason.LIMIT)
         self.assertEqual([one["reason"] for one in self.events("connection_end")], ["limit"])
 
 
-class Unread(DaemonTestCase):
-    async def test_what_waits_for_a_caller_that_never_reads_is_bounded(self) -> None:
+class UnreadData(DaemonTestCase):
+    async def test_unsent_data_for_a_caller_that_never_reads_is_limited(self) -> None:
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
         (client,) = await self.clients(daemon)
-        long = sip_request("OPTIONS", "t")
-        long.headers[0] = ("Via", "SIP/2.0/TCP " + "p" * 8000)  # which the answer repeats
+        large_request = sip_request("OPTIONS", "t")
+        large_request.headers[0] = ("Via", "SIP/2.0/TCP " + "p" * 8000)  # the answer repeats the Via
         while not self.events("connection_end"):
-            caller.send(long)
+            caller.send(large_request)
             await caller.writer.drain()
             await asyncio.sleep(0)
-            waiting = client.connection.stream._write_buffer
-            self.assertLessEqual(len(waiting or b""), MAX_UNSENT_CLIENT)
+            unsent = client.connection.stream._write_buffer
+            self.assertLessEqual(len(unsent or b""), MAX_UNSENT_CLIENT)
         self.assertEqual(self.events("connection_end")[0]["reason"], "overflow")
 
     async def clients(self, daemon: Daemon) -> set[Client]:
--- a/tests/test_desk_silence.py
+++ b/tests/test_desk_silence.py
@@ -1,4 +1,4 @@
-"""Desk connections that fall silent: what is tested, what stays, and when what stands there counts as cut."""
+"""Desk connections that fall silent: how they are tested, and when their established calls count as cut."""
 
 import asyncio
 from unittest import mock
@@ -19,9 +19,9 @@
 )
 
 
-class Silence(DaemonTestCase):
-    async def standing(self) -> tuple[ScriptedDesk, Daemon, Peer]:
-        """A desk, a daemon and a caller whose call stands there."""
+class SilentDesks(DaemonTestCase):
+    async def established_call(self) -> tuple[ScriptedDesk, Daemon, Peer]:
+        """Return a desk, a daemon and a caller with an established call there."""
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         caller = await self.caller()
@@ -29,62 +29,64 @@
         await caller.until(200)
         return desk, daemon, caller
 
-    async def test_what_stood_behind_a_connection_that_fell_silent_is_cut_once_its_process_is_gone(self) -> None:
-        # The desk drained, so no set-up went there; its end came on a connection that brought nothing any more, and
-        # its callers were owed the release within 8 s while the list was 7 s late.
-        desk, daemon, caller = await self.standing()
-        drains = self.desk(0, desk.address, api.Availability.DRAINING)
-        daemon.agent.list_changed(api.Scope.DELTA, [drains])
-        desk.server.close()  # what is open stays open, and nothing comes on it
-        heard = desk.peers[0]
-        await self.eventually(lambda: self.events("connection_end"))  # refused: as a desk that drains would
+    async def test_established_calls_on_a_silent_connection_are_cut_once_its_process_is_gone(self) -> None:
+        # A draining desk gets no set-ups, and its connection no longer delivered anything, not even its close.
+        # Callers must get the release within 8 s although the list may be 7 s late.
+        desk, daemon, caller = await self.established_call()
+        draining = self.desk(0, desk.address, api.Availability.DRAINING)
+        daemon.agent.list_changed(api.Scope.DELTA, [draining])
+        desk.server.close()  # open connections stay open, and nothing arrives on them
+        peer = desk.peers[0]
+        await self.eventually(lambda: self.events("connection_end"))  # refused, as by a draining desk
         self.assertTrue(daemon.agent.lives)
-        heard.send(STATE)
-        told = asyncio.get_running_loop().time()
+        peer.send(STATE)
+        last_message = asyncio.get_running_loop().time()
         self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
         # The calls were kept for that long.
-        self.assertGreater(asyncio.get_running_loop().time() - told, UNREACHABLE_AFTER - 0.1)
+        self.assertGreater(asyncio.get_running_loop().time() - last_message, UNREACHABLE_AFTER - 0.1)
         self.assertLess(UNREACHABLE_AFTER + RETRY_MAX + daemon.config.connect_timeout, 8.0)
 
-    async def test_a_desk_that_drains_refuses_connections_and_keeps_its_calls(self) -> None:
-        desk, _, caller = await self.standing()
+    async def test_a_draining_desk_refuses_connections_and_keeps_its_calls(self) -> None:
+        desk, _, caller = await self.established_call()
         desk.server.close()
         await self.eventually(lambda: len(self.events("connection_end")) > 2)
         self.assertEqual({one["reason"] for one in self.events("connection_end")}, {"refused"})
         desk.peers[0].send(bye("00000000000000a1", 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
-    async def test_a_quiet_desk_with_calls_is_tested_and_its_calls_stay(self) -> None:
-        desk, daemon, caller = await self.standing()
-        await self.eventually(lambda: len(desk.peers) == 2)  # told its state on the new one: it lives
+    async def test_a_quiet_desk_with_calls_is_tested_and_keeps_its_calls(self) -> None:
+        desk, daemon, caller = await self.established_call()
+        await self.eventually(
+            lambda: len(desk.peers) == 2
+        )  # the desk reports its state on the new one, so it is alive
         await self.eventually(lambda: len(daemon.desks.links["d0"].connections) == 1)
         desk.peers[1].send(bye("00000000000000a1", 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
-    async def test_a_desk_that_falls_silent_is_tested_by_another_connection(self) -> None:
+    async def test_a_silent_desk_is_tested_with_another_connection(self) -> None:
         desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
         sent = await desk.until("INVITE")
         await self.eventually(lambda: len(desk.peers) == 2)
-        await ScriptedDesk().script(desk.peers[0], sent)  # only slow: the first still counts
+        await ScriptedDesk().script(desk.peers[0], sent)  # it was only slow: its answer is accepted
         self.assertEqual((await caller.until(200)).body, SDP)
         self.assertEqual(len(daemon.desks.links["d0"].connections), 2)
 
-    async def test_a_connection_that_comes_up_late_costs_no_call_at_a_desk_that_refuses_all_others(self) -> None:
-        # One that took over 0.5 s had the open one closed, and the refusal after it cut calls that stood: live ones,
-        # whose releases the draining desk would have sent on the one that was closed.
-        late, refused = CloseReason.CONNECT_TIMEOUT, CloseReason.REFUSED
-        for tries in ([late, refused, refused], [refused, late, refused], [late, late, refused]):
-            with self.subTest(tries=tries):
-                desk, daemon, caller = await self.standing()
-                drains = self.desk(0, desk.address, api.Availability.DRAINING)
-                daemon.agent.list_changed(api.Scope.DELTA, [drains])
-                left = list(tries)
+    async def test_a_connect_timeout_cuts_no_call_at_a_desk_that_refuses_other_connections(self) -> None:
+        # A connect that took over 0.5 s closed the open connection, and the refusal after it cut live calls, whose
+        # releases the draining desk would have sent on the closed connection.
+        timeout, refused = CloseReason.CONNECT_TIMEOUT, CloseReason.REFUSED
+        for reasons in ([timeout, refused, refused], [refused, timeout, refused], [timeout, timeout, refused]):
+            with self.subTest(reasons=reasons):
+                desk, daemon, caller = await self.established_call()
+                draining = self.desk(0, desk.address, api.Availability.DRAINING)
+                daemon.agent.list_changed(api.Scope.DELTA, [draining])
+                left = list(reasons)
 
                 async def connect(
-                    address: str, kind: str, within: float, left: list[CloseReason] = left
+                    address: str, kind: str, timeout_s: float, left: list[CloseReason] = left
                 ) -> Connection:
                     raise ConnectError(left.pop(0) if len(left) > 1 else left[0])
 
@@ -95,10 +97,10 @@
                     desk.peers[0].send(bye("00000000000000a1", 16))
                     self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
-    async def test_no_set_up_goes_to_a_silent_connection_beside_which_none_comes_up_until_it_is_heard(self) -> None:
-        desk, daemon, caller = await self.standing()
+    async def test_a_silent_connection_gets_no_set_up_while_connecting_fails(self) -> None:
+        desk, daemon, caller = await self.established_call()
 
-        async def connect(address: str, kind: str, within: float) -> Connection:
+        async def connect(address: str, kind: str, timeout_s: float) -> Connection:
             raise ConnectError(CloseReason.CONNECT_TIMEOUT)
 
         link = daemon.desks.links["d0"]
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""Operators' calls: HTTP as a server reads it, and stories of them beside callers' connections."""
+"""Management requests over HTTP, and their effect on caller connections."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from tests.support import RAW
 
 
-class Operators(SipTestCase):
+class ManagementRequests(SipTestCase):
     async def serve(self, *desks: ScriptedDesk, **change: Any) -> Any:
         daemon = await self.start(*desks, management="127.0.0.1:0", **change)
         daemon.management.start()
@@ -26,16 +26,16 @@
     async def raw(self, data: bytes) -> bytes:
         reader, writer = await asyncio.open_connection(*self.operators.split(":"))
         writer.write(data)
-        told = await asyncio.wait_for(reader.read(), HANG_TIMEOUT)
+        response = await asyncio.wait_for(reader.read(), HANG_TIMEOUT)
         writer.close()
-        return told
+        return response
 
     async def call(self, method: str, path: str) -> tuple[int, Any]:
-        told = ResponseReader().feed(await self.raw(f"{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode()))
-        assert told and not told.keeps
-        return told.status, json.loads(told.body) if told.body else None
+        response = ResponseReader().feed(await self.raw(f"{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode()))
+        assert response and not response.keeps
+        return response.status, json.loads(response.body) if response.body else None
 
-    async def test_measures_are_there_where_they_are_switched_on_and_agree_with_the_figures(self) -> None:
+    async def test_measures_are_available_if_enabled_and_agree_with_the_stats(self) -> None:
         daemon = await self.serve(ScriptedDesk())
         self.assertEqual((await self.call("GET", "/admin/measures"))[0], 404)
         self.assertIsNone(daemon.agent.measure)
@@ -50,15 +50,15 @@
         daemon.agent.max_open = 0
         caller.send(invite(f"{10:016x}", call_class="b"))
         await self.eventually(lambda: daemon.agent.counters.throttled["b"])
-        stats, told = [(await self.call("GET", f"/admin/{name}"))[1] for name in ("stats", "measures")]
-        for kind, ends in told["counts"].items():
-            for how in ("fulfilled", "throttled", "faulted"):
-                self.assertEqual(ends.get(how, 0), stats[how][kind], (kind, how))
+        stats, measures = [(await self.call("GET", f"/admin/{name}"))[1] for name in ("stats", "measures")]
+        for class_name, counts in measures["counts"].items():
+            for result in ("fulfilled", "throttled", "faulted"):
+                self.assertEqual(counts.get(result, 0), stats[result][class_name], (class_name, result))
         self.assertGreaterEqual(stats["fulfilled"]["a"], 2)
-        self.assertEqual(sum(told["answer_ms"]["a"].values()), stats["fulfilled"]["a"])
-        self.assertEqual(told["faults"], log.counts["fault"] + log.counts["drain_late"])
+        self.assertEqual(sum(measures["answer_ms"]["a"].values()), stats["fulfilled"]["a"])
+        self.assertEqual(measures["faults"], log.counts["fault"] + log.counts["drain_late"])
 
-    async def test_a_quiesce_empties_the_agent_and_a_resume_brings_it_back(self) -> None:
+    async def test_quiesce_drains_the_agent_and_resume_restores_it(self) -> None:
         desk = ScriptedDesk()
         daemon = await self.serve(desk)
         self.assertEqual(await self.call("GET", "/admin/health"), (200, {"phase": "ready"}))
@@ -72,12 +72,12 @@
             self.assertEqual(await self.call("GET", "/admin/health"), (503, {"phase": "quiescing"}))
             with self.assertRaises(EOFError):
                 await idle.next()
-            # The front had not noticed yet: it is served as ever.
+            # The load balancer in front has not noticed yet: the call is served.
             late = await Peer.connect_and_send(self.address, invite("00000000000000a2"))
             self.addCleanup(late.close)
             await late.until(200)
             desk.peers[0].send(bye("00000000000000a1", 16))
-            await busy.until("BYE")  # its connection stayed for this, and goes with it
+            await busy.until("BYE")  # its connection stayed open for this release, and is closed after it
             with self.assertRaises(EOFError):
                 await busy.next()
         self.assertEqual(
@@ -90,7 +90,7 @@
         await again.until(200)
         self.assertEqual(len(daemon.front.clients), 2)
 
-    async def test_a_connection_that_never_rests_is_told_to_come_back_elsewhere(self) -> None:
+    async def test_set_ups_on_a_connection_that_is_never_idle_are_refused_with_retry_after(self) -> None:
         desk = ScriptedDesk(never_answer)
         await self.serve(desk)
         busy = await self.caller()
@@ -99,13 +99,13 @@
         with mock.patch.multiple(lifecycle, SETTLE=0.0, HURRY=0.0, REFUSE=0.0):
             await self.call("POST", "/admin/quiesce")
             busy.send(invite("00000000000000a2"))
-            told = await busy.until(503)
-            self.assertEqual((told.get("call-id"), told.get("retry-after")), ("00000000000000a2", "1"))
+            answer = await busy.until(503)
+            self.assertEqual((answer.get("call-id"), answer.get("retry-after")), ("00000000000000a2", "1"))
             busy.send(sip_request("CANCEL"))
             with self.assertRaises(EOFError):
                 await busy.next()
 
-    async def test_half_a_message_keeps_its_connection_until_it_is_whole(self) -> None:
+    async def test_a_partial_message_keeps_its_connection_until_it_is_complete(self) -> None:
         daemon = await self.serve(ScriptedDesk())
         caller = await self.caller()
         caller.send(sip_request("OPTIONS", "t"))
@@ -120,27 +120,27 @@
             caller.send(data[40:])
             self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a1")
 
-    async def test_a_quiesced_process_drains_and_takes_new_files(self) -> None:
+    async def test_a_quiesced_process_can_reload_and_drain(self) -> None:
         daemon = await self.serve(ScriptedDesk())
         daemon.reread = lambda: (daemon.config, daemon.plugins)
         await self.call("POST", "/admin/quiesce")
         daemon.reload()
-        self.assertEqual((await self.figures())["cfg_accepted"], 1)
+        self.assertEqual((await self.stats())["cfg_accepted"], 1)
         self.assertEqual((await self.call("POST", "/admin/quiesce"))[0], 200)
         daemon.lifecycle.terminate(0.0)
         self.assertEqual((await self.call("POST", "/admin/quiesce"))[0], 409)
 
-    async def test_attempts_by_sip_count_too(self) -> None:
+    async def test_attempts_over_sip_are_counted(self) -> None:
         for transport in ("udp", "tcp"):
             with self.subTest(transport=transport):
                 daemon = await self.start_sip(transport)
                 caller = await self.sip_caller(daemon, transport)
                 for number in ("ok", "503"):
                     await caller.invite(number)
-                told = daemon.figures()
-                self.assertEqual((told["fulfilled"]["a"], told["throttled"]["a"], told["relayed"]), (1, 1, 2))
+                stats = daemon.figures()
+                self.assertEqual((stats["fulfilled"]["a"], stats["throttled"]["a"], stats["relayed"]), (1, 1, 2))
 
-    async def test_what_is_wrong_is_said_and_a_drain_can_not_be_called_back(self) -> None:
+    async def test_invalid_requests_get_errors_and_a_drain_cannot_be_resumed(self) -> None:
         daemon = await self.serve(ScriptedDesk())
         self.assertEqual((await self.call("GET", "/admin/nothing"))[0], 404)
         self.assertIn(b"Allow: POST\r\n", await self.raw(b"GET /admin/resume HTTP/1.1\r\n\r\n"))
@@ -148,18 +148,18 @@
         daemon.lifecycle.terminate(0.0)
         self.assertEqual(await self.call("POST", "/admin/resume"), (409, {"phase": "draining"}))
 
-    async def test_callers_who_say_nothing_whole_do_not_keep_others_out(self) -> None:
+    async def test_clients_without_a_complete_request_do_not_block_others(self) -> None:
         with mock.patch.object(management, "MAX_CONNECTIONS", 3):
             daemon = await self.serve(ScriptedDesk())
-        mute = [await Peer.connect(self.operators) for _ in range(5)]
-        for one in mute:
-            one.send(b"GET /admin/hea")
-            self.addCleanup(one.close)
+        incomplete = [await Peer.connect(self.operators) for _ in range(5)]
+        for peer in incomplete:
+            peer.send(b"GET /admin/hea")
+            self.addCleanup(peer.close)
         self.assertEqual((await self.call("GET", "/admin/health"))[0], 200)
         self.assertLessEqual(len(daemon.management.listener.connections), 3)
 
-    async def test_a_stop_of_the_listener_does_not_make_later_set_ups_seem_old(self) -> None:
-        """Seen with the shared socket: the beat that tells a late process ended with the listener."""
+    async def test_stopping_the_listener_does_not_make_later_set_ups_seem_old(self) -> None:
+        """With a shared socket, the timer that measures the event loop lag stopped together with the listener."""
         daemon = await self.serve(ScriptedDesk())
         daemon.front.listener.stop()
         daemon.lifecycle.shared = True
@@ -168,11 +168,11 @@
         due = daemon.front.lag.due
         await self.eventually(lambda: daemon.front.lag.due > due)
 
-    async def test_the_figures_are_what_callers_and_desks_saw(self) -> None:
-        kept, full = ScriptedDesk(), ScriptedDesk(refuse(503, ("X-Diagnosis", "atb")))
-        daemon = await self.serve(kept, full, settings={"Limits": RAW["Limits"] | {"MaxOpen": 2}})
+    async def test_the_stats_match_what_callers_and_desks_saw(self) -> None:
+        accepting, full = ScriptedDesk(), ScriptedDesk(refuse(503, ("X-Diagnosis", "atb")))
+        daemon = await self.serve(accepting, full, settings={"Limits": RAW["Limits"] | {"MaxOpen": 2}})
         self.assertEqual(
-            await self.figures(),
+            await self.stats(),
             {
                 "fulfilled": {"a": 0, "b": 0},
                 "throttled": {"a": 0, "b": 0},
@@ -186,41 +186,41 @@
             },
         )
         caller = await self.caller()
-        caller.send(invite(dest=1))  # full there, stands at the other one
+        caller.send(invite(dest=1))  # full there, established at the other one
         await caller.until(200)
-        kept.script = never_answer
+        accepting.script = never_answer
         caller.send(invite("00000000000000a2", call_class="b"))
-        await kept.until("INVITE")
+        await accepting.until("INVITE")
         caller.send(invite("00000000000000a3", call_class="b"))
-        await kept.until("INVITE")
-        caller.send(invite("00000000000000a4", call_class="b"))  # too many wait
+        await accepting.until("INVITE")
+        caller.send(invite("00000000000000a4", call_class="b"))  # above MaxOpen
         await caller.until(503)
-        caller.send(sip_request("CANCEL", "00000000000000a2"))  # counts nowhere: nobody was told anything
-        await kept.until("CANCEL")
+        caller.send(sip_request("CANCEL", "00000000000000a2"))  # not counted: the caller gets no final answer
+        await accepting.until("CANCEL")
         daemon.agent.give_up()
         await caller.until(500)
-        told = await self.figures()
+        stats = await self.stats()
         self.assertEqual(
-            [told[one] for one in ("fulfilled", "throttled", "faulted", "relayed", "open_requests")],
+            [stats[one] for one in ("fulfilled", "throttled", "faulted", "relayed", "open_requests")],
             [{"a": 1, "b": 0}, {"a": 0, "b": 1}, {"a": 0, "b": 1}, 4, 1],
         )
         daemon.agent.list_changed(api.Scope.DELTA, [self.desk(1, full.address, phase=2)])
-        told = await self.figures()
-        self.assertEqual((told["registry_entries"], told["out_of_rotation"]), (2, 1))
+        stats = await self.stats()
+        self.assertEqual((stats["registry_entries"], stats["out_of_rotation"]), (2, 1))
         daemon.agent.list_changed(api.Scope.DELTA, [self.desk(1, full.address, phase=0)])
-        told = await self.figures()
-        self.assertEqual((told["registry_entries"], told["out_of_rotation"]), (1, 0))
+        stats = await self.stats()
+        self.assertEqual((stats["registry_entries"], stats["out_of_rotation"]), (1, 0))
 
-    async def figures(self) -> Any:
+    async def stats(self) -> Any:
         return (await self.call("GET", "/admin/stats"))[1]
 
-    async def test_an_attempt_counts_once_its_last_byte_is_out(self) -> None:
+    async def test_an_attempt_is_counted_once_its_last_byte_is_written(self) -> None:
         daemon = await self.serve(ScriptedDesk())
         (connection,) = daemon.desks.links["d0"].connections
-        with mock.patch.object(connection.stream, "write_to_fd", return_value=0):  # the desk takes nothing more
+        with mock.patch.object(connection.stream, "write_to_fd", return_value=0):  # the desk stops reading
             caller = await self.caller()
             caller.send(invite())
             await self.eventually(lambda: connection.stream.writing())
-            self.assertEqual((await self.figures())["relayed"], 0)
+            self.assertEqual((await self.stats())["relayed"], 0)
         await caller.until(200)
-        self.assertEqual((await self.figures())["relayed"], 1)
+        self.assertEqual((await self.stats())["relayed"], 1)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""Connections, listeners and datagrams: each way to end leaves one line with its reason."""
+"""Connections, listeners and datagrams: each end of a connection logs one event with its reason."""
 
 import asyncio
 import socket
@@ -20,28 +20,28 @@
 from tests.udp_peer import UdpPeer
 
 
-class Ends(DaemonTestCase):
+class ConnectionEnds(DaemonTestCase):
     async def pair(self, limit: int = 8, write_timeout: float = 5.0) -> tuple[Connection, Peer]:
-        """Our side and a scripted peer's."""
-        got: asyncio.Queue[Connection] = asyncio.Queue()
+        """Return both ends of a connection: ours and the scripted peer."""
+        accepted: asyncio.Queue[Connection] = asyncio.Queue()
 
-        async def accepted(one: Connection) -> None:
-            one.write_timeout = write_timeout
-            got.put_nowait(one)
-            await one.run(lambda data: None)
+        async def serve(ours: Connection) -> None:
+            ours.write_timeout = write_timeout
+            accepted.put_nowait(ours)
+            await ours.run(lambda data: None)
 
-        listener = Listener("t", limit, accepted)
+        listener = Listener("t", limit, serve)
         listener.bind_and_listen("127.0.0.1:0")
         self.addCleanup(listener.stop)
         self.address = f"127.0.0.1:{listener.port}"
         peer = await Peer.connect(self.address)
         self.addCleanup(peer.close)
-        return await got.get(), peer
+        return await accepted.get(), peer
 
     def reasons(self) -> list[str]:
         return [one["reason"] for one in self.events("connection_end")]
 
-    async def test_the_other_side_closes_or_breaks(self) -> None:
+    async def test_the_peer_closes_or_resets_the_connection(self) -> None:
         _, peer = await self.pair()
         peer.close()
         await self.eventually(self.reasons)
@@ -51,7 +51,7 @@
         await self.eventually(lambda: len(self.reasons()) == 2)
         self.assertEqual(self.reasons(), ["peer_closed", "peer_reset"])
 
-    async def test_a_peer_that_takes_nothing_is_bounded_in_time_and_in_bytes(self) -> None:
+    async def test_a_peer_that_stops_reading_is_limited_in_time_and_bytes(self) -> None:
         ours, peer = await self.pair(write_timeout=0.05)
         peer.writer.transport.pause_reading()
         while ours.stream.writing() is False:
@@ -64,36 +64,36 @@
         self.assertEqual(self.reasons(), ["write_timeout", "overflow"])
         self.assertFalse(ours.send(b"more"))
 
-    async def test_at_the_limit_idle_connections_give_way_those_first_that_never_asked(self) -> None:
-        # Hundreds that said nothing, or had asked once and stayed, shut good callers out.
+    async def test_at_the_limit_idle_connections_are_evicted_those_without_a_request_first(self) -> None:
+        # Hundreds of connections that sent nothing, or one request each, kept other callers out.
         daemon = await self.start(
             ScriptedDesk(never_answer), limits={"sockets": 9}, settings=LONG_TARGETS
-        )  # 3 callers
-        busy, asked, silent_one = await self.caller(), await self.caller(), await self.caller()
+        )  # allows 3 callers
+        busy, asked, silent = await self.caller(), await self.caller(), await self.caller()
         busy.send(invite())
         asked.send(sip_request("OPTIONS", "t"))
         await asked.until(200)
         await self.eventually(lambda: len(daemon.front.calls) == 1)
-        for gone, why in ((silent_one, "evicted"), (asked, "evicted"), (None, "limit")):
+        for evicted, reason in ((silent, "evicted"), (asked, "evicted"), (None, "limit")):
             new = await self.caller()
-            if gone:
+            if evicted:
                 with self.assertRaises(EOFError):
-                    await gone.next()
-                new.send(invite(f"{len(self.reasons()):016x}"))  # takes the place, and holds it
+                    await evicted.next()
+                new.send(invite(f"{len(self.reasons()):016x}"))  # takes the free place and keeps it
                 await self.eventually(lambda: len(daemon.front.calls) == 1 + len(self.reasons()))
             else:
                 with self.assertRaises((EOFError, OSError)):
                     await new.next()
-            self.assertEqual(self.reasons()[-1], why)
+            self.assertEqual(self.reasons()[-1], reason)
         self.assertEqual(len(daemon.front.clients), 3)
 
-    async def test_a_message_must_be_whole_in_time_but_between_messages_a_caller_may_wait(self) -> None:
+    async def test_a_message_must_be_complete_in_time_but_callers_may_idle_between_messages(self) -> None:
         with mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.05):
             await self.start(ScriptedDesk())
             callers = [await self.caller() for _ in range(4)]
             whole = sip_request("OPTIONS", "t").encode()
-            for caller, said in zip(callers, (b"", whole[:40], whole + whole[:40], whole), strict=True):
-                caller.send(said)
+            for caller, data in zip(callers, (b"", whole[:40], whole + whole[:40], whole), strict=True):
+                caller.send(data)
             for caller in callers[:3]:
                 with self.assertRaises(EOFError):
                     await caller.until(404)
@@ -103,19 +103,19 @@
                 self.assertEqual((await callers[3].next()).status, 200)
         self.assertEqual(self.reasons(), ["slow"] * 3)
 
-    async def test_connections_that_never_come_up(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            address = "{}:{}".format(*free.getsockname())
+    async def test_failed_connect_attempts(self) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as unused:
+            address = "{}:{}".format(*unused.getsockname())
         with self.assertRaises(ConnectError) as failed:
             await connect(address, "t", 5.0)
         self.assertEqual(failed.exception.reason, CloseReason.REFUSED)
-        with Deaf() as address:
+        with FullBacklog() as address:
             with self.assertRaises(ConnectError) as failed:
                 await connect(address, "t", 0.1)
             self.assertEqual(failed.exception.reason, CloseReason.CONNECT_TIMEOUT)
         self.assertEqual(self.reasons(), ["refused", "connect_timeout"])
 
-    async def test_a_fault_in_a_handler_ends_its_connection_only(self) -> None:
+    async def test_an_exception_in_a_handler_ends_only_its_connection(self) -> None:
         daemon = await self.start(ScriptedDesk())
         caller, other = await self.caller(), await self.caller()
         with mock.patch.object(daemon.front, "_request", side_effect=ZeroDivisionError):
@@ -127,8 +127,8 @@
         self.assertEqual((await other.next()).status, 200)
 
 
-class Deaf:
-    """An address that lets nobody in: its queue of connections is full, and nothing is accepted."""
+class FullBacklog:
+    """An address on which connecting times out: its backlog is full and nothing is accepted."""
 
     def __enter__(self) -> str:
         self.server = socket.socket()
@@ -143,83 +143,83 @@
         return "{}:{}".format(*self.server.getsockname())
 
     def __exit__(self, *_: object) -> None:
-        for one in (*self.fillers, self.server):
-            one.close()
+        for sock in (*self.fillers, self.server):
+            sock.close()
 
 
-class Unreachable(DaemonTestCase):
-    async def test_a_desk_that_lets_nobody_in_costs_its_connect_time_and_nothing_ran(self) -> None:
+class UnreachableDesk(DaemonTestCase):
+    async def test_a_desk_that_accepts_no_connection_gives_connect_failed(self) -> None:
         daemon = await self.start()
-        with Deaf() as address:
+        with FullBacklog() as address:
             daemon.agent.list_changed(api.Scope.DELTA, [self.desk(0, address)])
             self.fill_budget(daemon, 0)
-            seen: list[api.Event] = []
+            events: list[api.Event] = []
             handle = daemon.agent.module.handle
-            daemon.agent.module.handle = lambda now, e: seen.append(e) or handle(now, e)
+            daemon.agent.module.handle = lambda now, e: events.append(e) or handle(now, e)
             caller = await self.caller()
             caller.send(invite())
             self.assertEqual((await caller.next()).status, 503)
-            (ended,) = [one for one in seen if isinstance(one, api.Ended)]
+            (ended,) = [one for one in events if isinstance(one, api.Ended)]
             self.assertEqual(ended.status, api.Status.CONNECT_FAILED)
 
 
-class Peers(DaemonTestCase):
-    async def test_messages_go_to_one_or_all_and_none_is_over_256_bytes(self) -> None:
-        one, everyone, stranger = await UdpPeer.bind(), await UdpPeer.bind(), await UdpPeer.bind()
-        for udp in (one, everyone, stranger):
+class PeerMessages(DaemonTestCase):
+    async def test_messages_go_to_one_peer_or_all_and_have_at_most_256_bytes(self) -> None:
+        single, broadcast, stranger = await UdpPeer.bind(), await UdpPeer.bind(), await UdpPeer.bind()
+        for udp in (single, broadcast, stranger):
             self.addCleanup(udp.close)
-            udp.datagram_received = lambda data, addr, udp=udp: udp.got.put_nowait((data, addr))
+            udp.datagram_received = lambda data, addr, udp=udp: udp.received.put_nowait((data, addr))
         limits = {"AttemptsCap": 4, "Peers": True, "MaxRetryAfter": 0}
         daemon = Daemon(
             config(
                 settings={"Limits": limits},
                 peer_listen="127.0.0.1:0",
-                peers=["127.0.0.1:1", one.address],
-                peers_all=everyone.address,
+                peers=["127.0.0.1:1", single.address],
+                peers_all=broadcast.address,
             )
         )
         self.addAsyncCleanup(self._stop, daemon, ())
         await daemon.start()
         daemon.peers.send(1, b"to one")
         daemon.peers.send(None, b"to all")
-        self.assertEqual((await one.next(), await everyone.next()), (b"to one", b"to all"))
+        self.assertEqual((await single.next(), await broadcast.next()), (b"to one", b"to all"))
         daemon.peers.send(1, b"x" * 257)
         daemon.peers.send(1, b"last")
-        self.assertEqual(await one.next(), b"last")
-        seen: list[api.Event] = []
-        daemon.agent.module.handle = lambda now, e: seen.append(e) or []
-        for udp, data in ((stranger, b"who"), (one, b"x" * 257), (one, b"hi")):
+        self.assertEqual(await single.next(), b"last")
+        events: list[api.Event] = []
+        daemon.agent.module.handle = lambda now, e: events.append(e) or []
+        for udp, data in ((stranger, b"who"), (single, b"x" * 257), (single, b"hi")):
             udp.source = daemon.peers.endpoint.address
             udp.send(data)
-        await self.eventually(lambda: seen)
-        self.assertEqual(seen, [api.PeerMessage(1, b"hi")])
+        await self.eventually(lambda: events)
+        self.assertEqual(events, [api.PeerMessage(1, b"hi")])
 
 
-class LongDays(DaemonTestCase):
-    async def test_of_thousands_of_desks_that_came_and_went_nothing_remains(self) -> None:
+class Leaks(DaemonTestCase):
+    async def test_nothing_is_leaked_by_thousands_of_desks_that_were_added_and_removed(self) -> None:
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         agent, desks = daemon.agent, daemon.desks
         caller = await self.caller()
         for turn in range(2000):
             ident, gone = f"{turn:016x}", api.Availability.GONE
-            here = Desk(f"x{turn}", desk.address, 0, 0, api.Availability.READY, 0.0)
+            added = Desk(f"x{turn}", desk.address, 0, 0, api.Availability.READY, 0.0)
             if turn % 100:
-                agent.list_changed(api.Scope.DELTA, [here, replace(here, availability=gone)])
+                agent.list_changed(api.Scope.DELTA, [added, replace(added, availability=gone)])
                 continue
-            agent.list_changed(api.Scope.DELTA, [self.desk(0, desk.address, gone), here])
-            core = agent.module.node.fleet.servers[agent.numbers[here.ident]]
+            agent.list_changed(api.Scope.DELTA, [self.desk(0, desk.address, gone), added])
+            core = agent.module.node.fleet.servers[agent.numbers[added.ident]]
             core.cold_from, core.tokens = float("-inf"), 2.0
             caller.send(invite(ident))
             await caller.until(200)
-            agent.list_changed(api.Scope.DELTA, [replace(here, availability=gone), self.desk(0, desk.address)])
+            agent.list_changed(api.Scope.DELTA, [replace(added, availability=gone), self.desk(0, desk.address)])
             self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
             await self.eventually(lambda: not agent.lives)
         self.assertEqual(list(agent.numbers), ["d0"])
         self.assertEqual(list(agent.names), list(agent.numbers.values()))
-        self.assertEqual(agent.next_number, 2021)  # 2,000 desks, and d0 anew each time: no number was given twice
+        self.assertEqual(agent.next_number, 2021)  # 2,000 desks, and d0 again 21 times: no number was reused
         self.assertEqual((len(agent.listed), len(agent.module.node.fleet.servers), len(desks.links)), (1, 1, 1))
-        for left in (
+        for table in (
             agent.lives,
             agent.module.calls,
             agent.module.callers.turned_away,
@@ -228,12 +228,14 @@
             daemon.front.calls,
             daemon.front.releases.pending,
         ):
-            self.assertFalse(left)
-        await self.eventually(lambda: len(desks.tasks) <= 2 and len(agent.tasks) == 0)  # one keeper, one reader
+            self.assertFalse(table)
+        await self.eventually(
+            lambda: len(desks.tasks) <= 2 and len(agent.tasks) == 0
+        )  # one connection manager, one reader
 
 
-class Clocks(DaemonTestCase):
-    def test_the_modules_clock_never_goes_back(self) -> None:
+class ModuleClock(DaemonTestCase):
+    def test_the_modules_clock_is_monotonic(self) -> None:
         clock = Clock()
         first = clock.now()
         with mock.patch.object(time, "time", return_value=0.0):
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""This process stands still for a moment: what peers sent meanwhile is in the sockets, and timers are overdue."""
+"""Short pauses of this process: messages that arrived meanwhile wait in the sockets, and timers are overdue."""
 
 import asyncio
 import time
@@ -13,14 +13,14 @@
 
 
 def state() -> Message:
-    """A server's unasked state."""
+    """Build an unsolicited state report of a server."""
     headers = [("Call-ID", "0"), ("CSeq", "1 NOTIFY"), ("X-Occupancy", "idle:5;circuits:5")]
     return Message("NOTIFY", "sip:exchange@net", headers=headers)
 
 
-class Pauses(DaemonTestCase):
-    async def test_an_answer_that_came_meanwhile_is_no_time_out(self) -> None:
-        # Guards a call that stands at its server from being given up by the attempt's timer.
+class ProcessPauses(DaemonTestCase):
+    async def test_an_answer_that_arrived_during_a_pause_is_not_a_timeout(self) -> None:
+        # The attempt's timer must not cancel a call that was already answered.
         desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
@@ -31,11 +31,11 @@
         self.assertEqual((await caller.next()).status, 200)
         desk.peers[0].send(bye(ID, 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
-        seen = [desk.received.get_nowait().method for _ in range(desk.received.qsize())]
-        self.assertNotIn("CANCEL", seen)
+        methods = [desk.received.get_nowait().method for _ in range(desk.received.qsize())]
+        self.assertNotIn("CANCEL", methods)
 
-    async def test_an_answer_whose_rest_came_meanwhile_is_whole_in_time(self) -> None:
-        # Guards the set-ups and calls of a server's connection from its timer of half messages.
+    async def test_an_answer_completed_during_a_pause_is_in_time(self) -> None:
+        # The timer of incomplete messages must not end a server's connection with its set-ups and calls.
         desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
@@ -49,8 +49,8 @@
         self.assertEqual((await caller.next()).status, 200)
         self.assertEqual(self.events("connection_end"), [])
 
-    async def test_a_set_up_whose_rest_came_meanwhile_is_answered(self) -> None:
-        # Guards callers from the same timer on their side.
+    async def test_a_set_up_completed_during_a_pause_is_answered(self) -> None:
+        # The same timer must not end a caller's connection.
         self.enterContext(mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.2))
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
@@ -61,27 +61,29 @@
         time.sleep(0.4)
         self.assertEqual((await caller.next()).status, 200)
 
-    async def test_a_connection_on_which_an_answer_came_meanwhile_is_not_silent(self) -> None:
-        # Guards a set-up from the timer that ends connections on which the server tells nothing.
+    async def test_a_connection_on_which_an_answer_arrived_during_a_pause_is_not_silent(self) -> None:
+        # The timer that closes connections without a state report must not fail a set-up.
         desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
         answer = reply(await desk.until("INVITE"), 200, body=SDP)
-        await asyncio.sleep(2 * STATE_SPREAD)  # the first connection has been quiet for longer than that
+        await asyncio.sleep(2 * STATE_SPREAD)  # the first connection is silent for longer than STATE_SPREAD
         (link,) = daemon.desks.links.values()
-        await self.eventually(lambda: len(link.connections) == 2)  # as the set-up has no answer, another one tests it
-        told = mock.Mock(wraps=link.state_reported)
-        with mock.patch.object(link, "state_reported", told):
+        await self.eventually(
+            lambda: len(link.connections) == 2
+        )  # a second connection tests it, as the set-up has no answer
+        reported = mock.Mock(wraps=link.state_reported)
+        with mock.patch.object(link, "state_reported", reported):
             desk.peers[1].send(state())
-            await self.eventually(lambda: told.called)
+            await self.eventually(lambda: reported.called)
         desk.peers[0].send(answer)
         time.sleep(3 * STATE_SPREAD)
         self.assertEqual((await caller.next()).status, 200)
         self.assertNotIn("silent", [one["reason"] for one in self.events("connection_end")])
 
-    async def test_a_message_that_stays_half_is_still_ended_in_time(self) -> None:
-        # A byte that came meanwhile gives the rest no more than a moment.
+    async def test_a_message_that_stays_incomplete_still_times_out(self) -> None:
+        # A byte that arrived during the pause extends the timeout only by a moment.
         self.enterContext(mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.2))
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: calls, releases and callers between scripted servers."""
+"""The platform front between scripted callers and desks: calls, answers and releases."""
 
 from seamlb import api
 from seamlb.protocol.sip import Message
@@ -18,14 +18,14 @@
 ID = "00000000000000a1"
 
 
-class Calls(DaemonTestCase):
-    async def test_a_call_stands_and_its_release_reaches_the_caller(self) -> None:
+class PlatformCalls(DaemonTestCase):
+    async def test_a_call_is_established_and_the_caller_gets_its_release(self) -> None:
         desk = ScriptedDesk()
         await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
-        stands = await caller.until(200)
-        self.assertEqual(stands.body, SDP)
+        answer = await caller.until(200)
+        self.assertEqual(answer.body, SDP)
         sent = await desk.until("INVITE")
         self.assertEqual((sent.body, sent.get("x-cos"), sent.uri), (b"offer", "a", "sip:1234@net"))
         self.assertLessEqual(int(sent.get("x-timer-ms")), 3000)
@@ -35,7 +35,7 @@
         await self.eventually(lambda: self.events("call_end"))
         self.assertEqual(self.events("call_end")[0]["result"], "stood")
 
-    async def test_an_answer_to_a_second_attempt_stands_though_its_cseq_is_the_desks_own(self) -> None:
+    async def test_an_answer_to_a_second_attempt_is_accepted_with_the_desks_own_cseq(self) -> None:
         full, free = ScriptedDesk(refuse(503, ("X-Diagnosis", "atb"))), ScriptedDesk()
         await self.start(full, free)
         caller = await self.caller()
@@ -43,10 +43,10 @@
         self.assertEqual((await caller.until(200)).body, SDP)
         await full.until("ACK")
         await free.until("ACK")
-        self.assertTrue(free.received.empty(), "a BYE would have taken the call down")
+        self.assertTrue(free.received.empty(), "a BYE would have ended the call")
 
-    async def test_statuses_become_outcomes(self) -> None:
-        for status, note, ends in (
+    async def test_sip_statuses_map_to_attempt_outcomes(self) -> None:
+        for status, note, expected in (
             (503, "acc", (api.Status.FULL, 3)),
             (486, "sub", (api.Status.ERROR, 4)),
             (500, "", (api.Status.ERROR, 0)),
@@ -55,46 +55,46 @@
         ):
             with self.subTest(status=status):
                 daemon = await self.start(ScriptedDesk(refuse(status, ("X-Diagnosis", note))))
-                seen: list[api.Event] = []
+                events: list[api.Event] = []
                 handle = daemon.agent.module.handle
-                daemon.agent.module.handle = lambda now, e, h=handle, s=seen: s.append(e) or h(now, e)
+                daemon.agent.module.handle = lambda now, e, h=handle, s=events: s.append(e) or h(now, e)
                 caller = await self.caller()
                 caller.send(invite())
                 self.assertEqual((await caller.until(503)).status, 503)
-                (ended,) = [one for one in seen if isinstance(one, api.Ended)]
-                self.assertEqual((ended.status, ended.note), ends)
+                (ended,) = [one for one in events if isinstance(one, api.Ended)]
+                self.assertEqual((ended.status, ended.note), expected)
 
-    async def test_a_call_that_is_over_before_its_answer_came_is_not_set_up_again(self) -> None:
-        """Seen: the desk's answer was late, its release came first, and a second desk got a call that was over."""
+    async def test_a_call_released_before_its_answer_arrives_is_not_set_up_again(self) -> None:
+        """The desk's answer came after its release, and a second desk got a call that had already ended."""
 
-        async def ends_first(peer: Peer, message: Message) -> None:
+        async def release_first(peer: Peer, message: Message) -> None:
             peer.send(bye(message.get("call-id"), 16))
             peer.send(reply(message, 200, body=SDP))
 
-        first, second = ScriptedDesk(ends_first), ScriptedDesk()
+        first, second = ScriptedDesk(release_first), ScriptedDesk()
         await self.start(first, second)
         caller = await self.caller()
         caller.send(invite())
-        told = await caller.next()
-        self.assertEqual((told.status, told.get("call-id")), (503, ID))
-        await first.until("BYE")  # the answer that came after all is taken down
+        answer = await caller.next()
+        self.assertEqual((answer.status, answer.get("call-id")), (503, ID))
+        await first.until("BYE")  # the late answer is released
         self.assertTrue(second.received.empty())
 
-    async def test_an_answer_that_stops_short_is_not_filled_up_with_the_next(self) -> None:
-        """Seen: a caller got a description that no desk had made, the next message's bytes in it."""
+    async def test_a_truncated_answer_is_not_completed_with_bytes_of_the_next_message(self) -> None:
+        """A caller got a session description that contained bytes of the next message."""
 
-        async def short(peer: Peer, message: Message) -> None:
+        async def truncated(peer: Peer, message: Message) -> None:
             whole = reply(message, 200, body=SDP).encode()
             peer.send(whole[:-9] + reply(message, 503).encode())
 
-        await self.start(ScriptedDesk(short))
+        await self.start(ScriptedDesk(truncated))
         caller = await self.caller()
         caller.send(invite(timer=1000))
         self.assertNotEqual((await caller.next()).status, 200)
         self.assertIn("malformed", [one["reason"] for one in self.events("connection_end")])
 
-    async def test_a_release_behind_an_answer_that_stopped_short_reaches_its_caller(self) -> None:
-        """Seen: the desk sends a release once, on the connection of the set-up, whose framing was lost by then."""
+    async def test_a_release_after_a_truncated_answer_reaches_its_caller(self) -> None:
+        """The desk sends a release once, on the connection of the set-up, whose framing is lost by then."""
         desk = ScriptedDesk()
         await self.start(desk)
         caller = await self.caller()
@@ -102,15 +102,15 @@
         await caller.until(200)
         desk.script = never_answer
         caller.send(invite("00000000000000a2", timer=5000))
-        broken = await desk.until("INVITE")
-        broken = await desk.until("INVITE")
+        sent = await desk.until("INVITE")
+        sent = await desk.until("INVITE")
         peer = desk.peers[0]
-        peer.send(reply(broken, 200, body=b"x" * 400).encode()[:-300])
+        peer.send(reply(sent, 200, body=b"x" * 400).encode()[:-300])
         peer.send(bye(ID, 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
-    async def test_a_release_that_is_cut_off_behind_its_calls_name_reaches_its_caller(self) -> None:
-        """Seen: pieces of a release came, the rest never did, and the call was left standing."""
+    async def test_a_release_truncated_after_its_call_id_reaches_its_caller(self) -> None:
+        """The rest of a release never arrived, and the call stayed established."""
         desk = ScriptedDesk()
         await self.start(desk)
         caller = await self.caller()
@@ -121,17 +121,17 @@
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
         await self.eventually(lambda: "slow" in [one["reason"] for one in self.events("connection_end")])
 
-    async def test_a_release_that_crosses_the_end_of_a_connection_reaches_its_caller(self) -> None:
+    async def test_a_release_that_crosses_the_end_of_its_connection_reaches_its_caller(self) -> None:
         desk = ScriptedDesk()
         await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
         await caller.until(200)
-        desk.parting = bye(ID, 16).encode()
+        desk.farewell = bye(ID, 16).encode()
         desk.peers[0].send(b"what is this\r\n\r\n")
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
-    async def test_an_answer_that_crosses_our_cancel_is_acked_and_released(self) -> None:
+    async def test_an_answer_that_crosses_the_cancel_is_acked_and_released(self) -> None:
         desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
@@ -143,14 +143,14 @@
         await desk.until("ACK")
         await desk.until("BYE")
 
-    async def test_a_refusal_says_when_to_come_back_though_the_site_expects_no_one_to_heed_it(self) -> None:
+    async def test_a_refusal_has_retry_after_even_if_callers_are_not_expected_to_honour_it(self) -> None:
         limits = {"AttemptsCap": 4, "MaxRetryAfter": 2000.0, "RetryAfter": False}
         await self.start(ScriptedDesk(refuse(503, ("X-Diagnosis", "atb"))), settings={"Limits": limits})
         caller = await self.caller()
         caller.send(invite())
         self.assertIn((await caller.until(503)).get("retry-after"), ("1", "2"))
 
-    async def test_an_agent_that_holds_all_it_may_says_when_to_come_back(self) -> None:
+    async def test_an_agent_at_its_limit_of_open_calls_answers_with_retry_after(self) -> None:
         limits = {"AttemptsCap": 4, "MaxRetryAfter": 2000.0, "MaxOpen": 1}
         desk = ScriptedDesk(never_answer)
         await self.start(desk, settings={"Limits": limits})
@@ -160,7 +160,7 @@
         caller.send(invite("00000000000000a2"))
         self.assertEqual((await caller.until(503)).get("retry-after"), "1")
 
-    async def test_a_caller_that_gives_up_cancels_the_attempt(self) -> None:
+    async def test_a_cancel_by_the_caller_cancels_the_attempt(self) -> None:
         desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
@@ -171,7 +171,7 @@
         await self.eventually(lambda: self.events("call_end"))
         self.assertEqual(self.events("call_end")[0]["result"], "left")
 
-    async def test_a_release_by_the_caller_on_another_connection_cuts_the_call(self) -> None:
+    async def test_a_release_by_the_caller_on_another_connection_ends_the_call(self) -> None:
         desk = ScriptedDesk()
         await self.start(desk)
         first, second = await self.caller(), await self.caller()
@@ -192,17 +192,19 @@
         await self.eventually(lambda: not daemon.front.clients)
         desk.peers[0].send(bye(ID, 41))
         await self.eventually(lambda: daemon.front.releases.pending)
-        mute, caller = await self.caller(), await self.caller()  # told to one that never asked it would be lost
+        # A release sent to a caller that never sent a request would be lost.
+        silent_caller, caller = await self.caller(), await self.caller()
         await self.eventually(lambda: len(daemon.front.clients) == 2)
         caller.send(sip_request("OPTIONS", "t"))
         self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
-        mute.send(sip_request("OPTIONS", "t"))
-        self.assertEqual((await mute.next()).status, 200)
+        silent_caller.send(sip_request("OPTIONS", "t"))
+        self.assertEqual((await silent_caller.next()).status, 200)
 
-    async def test_in_a_crowd_releases_and_places_are_kept_for_callers_that_were_served(self) -> None:
-        # A good caller's idle connection gave way to a crowd that asked once, and the release went to one of these.
+    async def test_served_callers_keep_their_connections_and_get_releases_before_a_crowd(self) -> None:
+        # The idle connection of a served caller was evicted for a crowd that sent one request each, and the release
+        # went to one of these.
         desk = ScriptedDesk()
-        daemon = await self.start(desk, limits={"sockets": 9})  # 3 callers
+        daemon = await self.start(desk, limits={"sockets": 9})  # allows 3 callers
         first, second = await self.caller(), await self.caller()
         for caller, ident in ((first, ID), (second, "00000000000000a2")):
             caller.send(invite(ident))
@@ -227,11 +229,11 @@
         desk.peers[0].send(bye("feedfeedfeedfeed", 16))
         self.assertEqual((await caller.until("BYE")).get("call-id"), "feedfeedfeedfeed")
 
-    async def test_a_stall_of_this_process_does_not_stretch_the_callers_time(self) -> None:
+    async def test_a_stall_of_this_process_does_not_extend_the_callers_deadline(self) -> None:
         desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller = await self.caller()
         daemon.front.lag.stop()
-        daemon.front.lag.due -= 1.0  # as if the last second had gone to something else
+        daemon.front.lag.due -= 1.0  # as if the event loop had been blocked for 1 s
         caller.send(invite(timer=3000))
         self.assertLess(int((await desk.until("INVITE")).get("x-timer-ms")), 2100)
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -1,4 +1,4 @@
-"""The platform's front: faults, and input that is malformed, doubled or another's."""
+"""The platform front: exceptions, malformed and duplicate messages, and messages about calls of other callers."""
 
 import asyncio
 from unittest import mock
@@ -22,14 +22,14 @@
 ID = "00000000000000a1"
 
 
-class Faults(DaemonTestCase):
+class Robustness(DaemonTestCase):
     # On a busy machine an answer that is sent in single bytes takes longer than the timeout.
     @mock.patch("seamlb.desks.reader.PARTIAL_MESSAGE_TIMEOUT", HANG_TIMEOUT)
-    async def test_a_whole_exchange_in_single_bytes(self) -> None:
+    async def test_an_exchange_sent_in_single_bytes(self) -> None:
         async def drip(peer: Peer, *messages: Message) -> None:
             for data in (message.encode() for message in messages):
-                for place in range(len(data)):
-                    peer.send(data[place : place + 1])
+                for index in range(len(data)):
+                    peer.send(data[index : index + 1])
                     await asyncio.sleep(0)
 
         async def script(peer: Peer, message: Message) -> None:
@@ -40,34 +40,34 @@
         caller = await self.caller()
         for ident in (ID, "00000000000000a2"):
             await drip(caller, invite(ident), sip_request("OPTIONS", "t"))
-            told = [await caller.next() for _ in range(3)]
-            self.assertEqual({(one.method, one.status) for one in told}, {("", 200), ("BYE", 0)})
-            self.assertIn(SDP, [one.body for one in told])
+            received = [await caller.next() for _ in range(3)]
+            self.assertEqual({(one.method, one.status) for one in received}, {("", 200), ("BYE", 0)})
+            self.assertIn(SDP, [one.body for one in received])
         caller.close()
         await self.eventually(lambda: not daemon.front.clients and not daemon.agent.lives)
         await self.eventually(lambda: len(asyncio.all_tasks()) == tasks)
 
-    async def test_a_fault_in_one_life_fails_that_call_alone(self) -> None:
+    async def test_an_exception_in_one_call_fails_only_that_call(self) -> None:
         daemon = await self.start(ScriptedDesk())
         handle = daemon.agent.module.handle
 
-        def broken(now: float, event: api.Event) -> list[api.Action]:
+        def faulty(now: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.CallRequest) and event.call == 1 or isinstance(event, api.ListChange):
                 raise ZeroDivisionError
             return handle(now, event)
 
-        daemon.agent.module.handle = broken
+        daemon.agent.module.handle = faulty
         caller = await self.caller()
         caller.send(invite())
         self.assertEqual((await caller.next()).status, 500)
         caller.send(invite("00000000000000a2"))
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a2")
-        daemon.agent.list_changed(api.Scope.DELTA, [])  # whoever brings the list goes on
+        daemon.agent.list_changed(api.Scope.DELTA, [])  # the caller of list_changed gets no exception
         self.assertEqual([one["where"] for one in self.events("fault")], ["life", "module"])
         self.assertEqual(daemon.agent.unanswered, 0)
 
 
-class BadInput(DaemonTestCase):
+class InvalidInput(DaemonTestCase):
     async def test_bad_messages_get_a_definite_answer(self) -> None:
         await self.start(ScriptedDesk())
         caller = await self.caller()
@@ -82,7 +82,7 @@
             self.assertEqual((await caller.next()).status, status)
         self.assertEqual(self.events("fault"), [])
 
-    async def test_what_cannot_be_read_further_ends_the_connection_with_its_reason(self) -> None:
+    async def test_data_that_cannot_be_framed_ends_the_connection_with_its_reason(self) -> None:
         daemon = await self.start(ScriptedDesk())
         head = b"INVITE sip:1@net SIP/2.0\r\nVia: x\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\n"
         for bad, status in (
@@ -105,8 +105,8 @@
         self.assertEqual(ends, ["malformed"] * 5)
         self.assertEqual(self.events("fault"), [])
 
-    async def test_a_refusal_reaches_a_caller_that_sends_on(self) -> None:
-        # A close with input unread resets the connection, and the refusal was lost with it.
+    async def test_a_refusal_reaches_a_caller_that_keeps_sending(self) -> None:
+        # Closing a socket with unread input resets the connection, and the refusal was lost with it.
         await self.start(ScriptedDesk())
         caller = await self.caller()
         caller.send(sip_request("INVITE").encode().replace(b"Content-Length: 0", b"Content-Length: 60000000"))
@@ -117,7 +117,7 @@
         with self.assertRaises(EOFError):
             await caller.next()
 
-    async def test_an_id_used_twice_on_a_connection_gets_one_answer_and_no_second_attempt(self) -> None:
+    async def test_a_call_id_used_twice_on_a_connection_gets_one_answer_and_no_second_attempt(self) -> None:
         desk = ScriptedDesk(never_answer)
         await self.start(desk)
         caller = await self.caller()
@@ -132,7 +132,7 @@
         self.assertEqual((await caller.next()).status, 482)
         self.assertTrue(desk.received.empty())
 
-    async def test_one_caller_ends_no_set_up_of_another(self) -> None:
+    async def test_a_caller_cannot_end_the_set_up_of_another(self) -> None:
         desk = ScriptedDesk(never_answer)
         daemon = await self.start(desk)
         caller, other = await self.caller(), await self.caller()
@@ -148,7 +148,7 @@
         await ScriptedDesk().script(desk.peers[0], sent)
         self.assertEqual((await caller.until(200)).body, SDP)
 
-    async def test_figures_that_no_call_has_are_refused_before_the_module_hears_of_them(self) -> None:
+    async def test_invalid_call_parameters_are_refused_before_the_module_gets_them(self) -> None:
         pools = {"Extra": RAW["Extra"] | {"SkilledPools": [[0], [0]]}}
         daemon = await self.start(ScriptedDesk(), settings=pools)
         caller = await self.caller()
@@ -180,7 +180,7 @@
             self.assertEqual((await caller.next()).status, 400, uri)
         self.assertEqual(daemon.agent.taken, 0)
 
-    async def test_who_can_be_told_nothing_is_told_by_the_end(self) -> None:
+    async def test_a_request_that_cannot_be_answered_ends_its_connection(self) -> None:
         await self.start(ScriptedDesk())
         caller = await self.caller()
         headers = [one for one in invite().headers if one[0] != "Call-ID"]
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -1,4 +1,4 @@
-"""The platform's server client: connections that are lost, silent or late, and servers that drain or are gone."""
+"""The platform desk client: connections that are lost, silent or late, and desks that drain or are removed."""
 
 import asyncio
 import socket
@@ -28,12 +28,12 @@
 ID = "00000000000000a1"
 
 
-class Desks(DaemonTestCase):
-    async def test_a_connection_lost_before_the_answer_is_a_reset_and_the_call_goes_on(self) -> None:
-        async def breaks(peer, _invite):
+class DeskConnections(DaemonTestCase):
+    async def test_a_connection_lost_before_the_answer_is_a_reset_and_the_call_is_retried(self) -> None:
+        async def reset(peer, _invite):
             peer.reset()
 
-        bad, good = ScriptedDesk(breaks), ScriptedDesk()
+        bad, good = ScriptedDesk(reset), ScriptedDesk()
         await self.start(bad, good)
         caller = await self.caller()
         caller.send(invite(dest=0))
@@ -41,7 +41,7 @@
         await self.eventually(lambda: self.events("connection_end"))
         self.assertEqual(self.events("connection_end")[0]["kind"], "desk")
 
-    async def test_a_refused_connection_cuts_what_stood_and_leaves_one_line(self) -> None:
+    async def test_a_refused_connection_cuts_established_calls_and_is_logged(self) -> None:
         desk = ScriptedDesk()
         await self.start(desk)
         caller = await self.caller()
@@ -52,7 +52,7 @@
         reasons = {one["reason"] for one in self.events("connection_end")}
         self.assertIn("refused", reasons)
 
-    async def test_an_address_used_again_by_another_desk_gets_connections_of_its_own(self) -> None:
+    async def test_an_address_reused_by_another_desk_gets_new_connections(self) -> None:
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         gone = self.desk(0, desk.address, api.Availability.GONE)
@@ -64,17 +64,17 @@
         caller.send(invite(dest=7))
         await caller.until(200)
 
-    async def test_nothing_new_goes_to_a_desk_that_drains(self) -> None:
+    async def test_a_draining_desk_gets_no_new_call(self) -> None:
         desk = ScriptedDesk()
         daemon = await self.start(desk)
-        drains = self.desk(0, desk.address, api.Availability.DRAINING)
-        daemon.agent.list_changed(api.Scope.DELTA, [drains])
+        draining = self.desk(0, desk.address, api.Availability.DRAINING)
+        daemon.agent.list_changed(api.Scope.DELTA, [draining])
         caller = await self.caller()
         caller.send(invite())
         await caller.until(503)
         self.assertTrue(desk.received.empty())
 
-    async def test_what_stood_at_a_desk_that_is_gone_is_cut_on_both_sides(self) -> None:
+    async def test_established_calls_at_a_removed_desk_are_cut_on_both_sides(self) -> None:
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         caller = await self.caller()
@@ -84,9 +84,9 @@
         self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
         self.assertIn("cause=41", (await desk.until("BYE")).get("reason"))
 
-    async def test_after_an_answer_that_cannot_be_read_its_connection_is_left_at_once(self) -> None:
+    async def test_a_connection_with_a_malformed_answer_is_abandoned_at_once(self) -> None:
         head = b"SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 1 INVITE\r\n"
-        for spoilt in (
+        for malformed in (
             b"\xfe\x00 noise\r\n\r\n",
             head + b"Content-Length: -4\r\nContent-Length: 4\r\n\r\n",
             head + b"\r\n",
@@ -95,33 +95,34 @@
             head + b"Content-Length: 40\r\n\r\nstops short",
             b"SIP/2.0 200 OK\r\nX-Pad: never ends" + b"p" * 99,
         ):
-            with self.subTest(spoilt=spoilt[:60]):
+            with self.subTest(malformed=malformed[:60]):
 
-                async def spoil(peer: Peer, sent: Message, spoilt: bytes = spoilt) -> None:
-                    peer.send(spoilt.replace(b"%s", sent.get("call-id").encode()))  # and it stays open
+                async def send_malformed(peer: Peer, sent: Message, malformed: bytes = malformed) -> None:
+                    # The connection stays open.
+                    peer.send(malformed.replace(b"%s", sent.get("call-id").encode()))
 
-                await self.start(ScriptedDesk(spoil), ScriptedDesk())
+                await self.start(ScriptedDesk(send_malformed), ScriptedDesk())
                 caller = await self.caller()
                 caller.send(invite(timer=9000))
                 self.assertEqual((await caller.until(200)).body, SDP)
 
-    async def test_more_than_belongs_to_an_answer_is_dropped(self) -> None:
-        async def more(peer: Peer, sent: Message) -> None:
-            stranger = Message(
+    async def test_unexpected_answers_after_an_answer_are_dropped(self) -> None:
+        async def unexpected(peer: Peer, sent: Message) -> None:
+            unknown = Message(
                 status=200,
                 reason="OK",
                 body=b"not theirs",
                 headers=[("Call-ID", "feedfeedfeedfeed"), ("CSeq", "1 INVITE")],
             )
-            peer.send(stranger.encode() + 2 * reply(sent, 200, body=SDP).encode())
+            peer.send(unknown.encode() + 2 * reply(sent, 200, body=SDP).encode())
 
-        desk = ScriptedDesk(more)
+        desk = ScriptedDesk(unexpected)
         await self.start(desk)
         caller = await self.caller()
         caller.send(invite())
         self.assertEqual((await caller.next()).body, SDP)
         caller.send(sip_request("OPTIONS", "t"))
-        self.assertEqual((await caller.next()).cseq()[1], "OPTIONS")  # no second answer in between
+        self.assertEqual((await caller.next()).cseq()[1], "OPTIONS")  # and no second answer before it
         desk.peers[0].send(bye(ID, 16))
         await caller.until("BYE")
         sent = []
@@ -131,9 +132,9 @@
             {(one.method, one.get("call-id")) for one in sent if one.method}, {("INVITE", ID), ("ACK", ID)}
         )
 
-    async def test_a_connection_on_which_nothing_comes_is_left_when_the_desk_tells_its_state_on_another(self) -> None:
-        # Its set-ups waited for their time-outs, which the module took for a jam of a desk that answered
-        # all the time on other connections.
+    async def test_a_silent_connection_is_closed_when_the_desk_reports_its_state_on_another(self) -> None:
+        # Its set-ups waited for their timeouts, and the decision module took the desk for congested although it
+        # answered on its other connections all the time.
         desk, other = ScriptedDesk(never_answer), ScriptedDesk()
         daemon = await self.start(desk, other)
         caller = await self.caller()
@@ -144,8 +145,8 @@
         self.assertEqual((await caller.until(200)).body, SDP)
         self.assertEqual([one["reason"] for one in self.events("connection_end")], ["silent"])
 
-    async def release_beside(self, half_read: bool, replace: Callable[[Link], object]) -> None:
-        """A release is half read, or in the socket, as its connection is replaced: it must reach the caller."""
+    async def release_while_replaced(self, half_read: bool, replace: Callable[[Link], object]) -> None:
+        """A release that is partly read, or unread in the socket, reaches the caller although `replace` is called."""
         desk = ScriptedDesk()
         daemon = await self.start(desk)
         caller = await self.caller()
@@ -163,52 +164,54 @@
         else:
             until = time.monotonic() + HANG_TIMEOUT
             while not first.has_unread_data() and time.monotonic() < until:
-                time.sleep(0.001)  # the system may take its time; the agent, which is in this loop, must not read it
+                time.sleep(0.001)  # block the loop until the bytes have arrived, so that the agent does not read them
         replace(link)
         desk.peers[0].send(release[sent:])
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
-    async def test_a_release_on_a_connection_that_is_replaced_reaches_its_caller(self) -> None:
-        # The connection carried no set-up and was closed, and the release, which is sent once, was lost.
+    async def test_a_release_on_a_replaced_connection_reaches_its_caller(self) -> None:
+        # The connection carried no set-up and was closed, so the release, which is sent only once, was lost.
         later = asyncio.get_running_loop().time() + 1.0
-        ways: dict[str, Callable[[Link], object]] = {
+        cases: dict[str, Callable[[Link], object]] = {
             "it is idle": lambda link: link.close_idle(CloseReason.SILENT),
             "the state came on another": lambda link: link._close_stalled(later),
             "there are too many": lambda link: link.manager._close_unused(),
         }
-        for way, replace in ways.items():
+        for case, replace in cases.items():
             for half_read in (True, False):
-                with self.subTest(way=way, half_read=half_read):
-                    await self.release_beside(half_read, replace)
+                with self.subTest(case=case, half_read=half_read):
+                    await self.release_while_replaced(half_read, replace)
 
-    async def test_a_release_that_came_while_this_process_stood_still_is_read_first(self) -> None:
+    async def test_a_release_that_arrived_while_this_process_was_paused_is_read_first(self) -> None:
         later = asyncio.get_running_loop().time() + 1.0
-        await self.release_beside(
+        await self.release_while_replaced(
             False, lambda link: link.manager._connect_failed(CloseReason.SILENT, later + UNREACHABLE_AFTER)
         )
 
-    async def test_nothing_is_written_to_a_connection_that_the_desk_has_ended_already(self) -> None:
-        # A set-up written there might have been read: one that may not be repeated had failed for nothing.
+    async def test_no_set_up_is_written_to_a_connection_that_the_desk_has_closed(self) -> None:
+        # A set-up written there might have been read, so a call that must not be retried failed needlessly.
         desk = ScriptedDesk()
         daemon = await self.start(desk)
-        heard: list[object] = []
+        results: list[object] = []
         request = daemon.front._parse_request(invite(), ID)
-        desk.peers[0].writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # our loop has not seen it yet
-        daemon.desks.set_up(Attempt(request, 0, "d0", 3000.0), lambda leg, what: heard.append(what))
-        await self.eventually(lambda: heard)
-        self.assertEqual(heard, [Answer(SDP)])
-
-    async def test_a_desk_that_hangs_is_left_though_its_connections_come_up(self) -> None:
-        hangs, good = ScriptedDesk(never_answer), ScriptedDesk()
-        daemon = await self.start(hangs, good)
-        hangs.mute = True
+        desk.peers[0].writer.get_extra_info("socket").shutdown(
+            socket.SHUT_RDWR
+        )  # the event loop has not seen this yet
+        daemon.desks.set_up(Attempt(request, 0, "d0", 3000.0), lambda leg, result: results.append(result))
+        await self.eventually(lambda: results)
+        self.assertEqual(results, [Answer(SDP)])
+
+    async def test_a_hanging_desk_is_unreachable_although_it_accepts_connections(self) -> None:
+        hanging, good = ScriptedDesk(never_answer), ScriptedDesk()
+        daemon = await self.start(hanging, good)
+        hanging.hangs = True
         caller = await self.caller()
         caller.send(invite(timer=9000))
         self.assertEqual((await caller.until(200)).body, SDP)
         self.assertTrue(daemon.desks.links["d0"].unreachable)
-        seen = len(hangs.peers)
-        caller.send(invite("00000000000000a2"))  # goes on at once, not at the next try to connect
+        connections = len(hanging.peers)
+        caller.send(invite("00000000000000a2"))  # tries the other desk at once, not after the next connect attempt
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a2")
-        hangs.mute = False
+        hanging.hangs = False
         await self.eventually(lambda: not daemon.desks.links["d0"].unreachable)
-        self.assertGreater(len(hangs.peers), seen)
+        self.assertGreater(len(hanging.peers), connections)
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -1,4 +1,4 @@
-"""Stories of the sip front and the sip desk client over loopback, against stand-ins from RFC 3261."""
+"""The SIP front and the SIP desk client over loopback, against scripted RFC 3261 peers."""
 
 import asyncio
 
@@ -7,25 +7,35 @@
 from tests.sip_peers import SipCaller, SipTestCase
 from tests.udp_peer import UdpPeer
 
-MIX = ("ok1", "486", "480", "504", "500", "ok2", "ok3", "503", "slow")  # what makes the module gap comes last
+MIX = (
+    "ok1",
+    "486",
+    "480",
+    "504",
+    "500",
+    "ok2",
+    "ok3",
+    "503",
+    "slow",
+)  # responses that make the module pause its attempts come last
 
 
 class BothTransports(SipTestCase):
     async def outcomes(self, transport: str) -> list[tuple[int, bytes, str]]:
-        """The final answers to one mix of calls, and how each call ended."""
+        """Return status, body and result of each call of the mix."""
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, transport)
-        told = []
+        results = []
         for number in MIX:
             timer = [("X-Timer-Ms", "60")] if number == "slow" else []
             answer = await caller.invite(number, *timer)
             if answer.status == 200:
                 caller.peer.send(caller.build("BYE"))
                 self.assertEqual((await caller.peer.until(200)).cseq()[1], "BYE")
-            await self.eventually(lambda: len(self.events("call_end")) > len(told))
-            told.append((answer.status, answer.body, self.events("call_end")[-1]["result"]))
+            await self.eventually(lambda: len(self.events("call_end")) > len(results))
+            results.append((answer.status, answer.body, self.events("call_end")[-1]["result"]))
         self.logged.clear()
-        return told
+        return results
 
     async def test_the_same_mix_of_calls_has_the_same_outcomes_on_udp_and_tcp(self) -> None:
         udp, tcp = await self.outcomes("udp"), await self.outcomes("tcp")
@@ -33,7 +43,7 @@
         self.assertEqual([status for status, _, _ in udp], [200, 503, 503, 503, 503, 200, 200, 503, 503])
         self.assertEqual(udp[0], (200, SDP, "released"))
 
-    async def test_a_desk_over_tcp_gives_what_one_over_udp_does(self) -> None:
+    async def test_a_desk_over_tcp_has_the_same_outcomes_as_over_udp(self) -> None:
         daemon = await self.start_sip("tcp")
         caller = await self.sip_caller(daemon, "udp")
         self.assertEqual((await caller.invite("ok")).body, SDP)
@@ -49,14 +59,14 @@
         for _ in range(3):
             caller.peer.send(caller.sent)
             self.assertEqual((await caller.peer.next()).status, 100)
-        await self.eventually(lambda: self.standin.hold)
-        self.assertEqual((daemon.agent.taken, len(self.standin.hold)), (1, 1))
+        await self.eventually(lambda: self.sip_desk.invites)
+        self.assertEqual((daemon.agent.taken, len(self.sip_desk.invites)), (1, 1))
         merged = caller.build("INVITE", number="slow", seq=caller.seq, branch="z9hG4bKother")
         merged.headers = [(n, f"{caller.seq - 1} INVITE" if n == "CSeq" else v) for n, v in merged.headers]
         caller.peer.send(merged)
         self.assertEqual((await caller.peer.until(482)).status, 482)
 
-    async def test_cancel_gets_487_and_calls_the_attempt_off(self) -> None:
+    async def test_a_cancel_gets_487_and_cancels_the_attempt(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "udp")
         caller.renew()
@@ -66,18 +76,18 @@
         caller.peer.send(caller.build("CANCEL", number="slow"))
         self.assertEqual((await caller.peer.until(200)).cseq()[1], "CANCEL")
         self.assertEqual((await caller.final()).status, 487)
-        await self.eventually(lambda: "CANCEL" in self.standin.methods())
-        await self.eventually(lambda: self.standin.methods().count("ACK") == 1)
+        await self.eventually(lambda: "CANCEL" in self.sip_desk.methods())
+        await self.eventually(lambda: self.sip_desk.methods().count("ACK") == 1)
         caller.peer.send(caller.build("CANCEL", number="slow", branch="z9hG4bKnone"))
         self.assertEqual((await caller.peer.until(481)).status, 481)
 
-    async def test_an_answer_that_crosses_our_cancel_is_acked_and_released_never_passed_on(self) -> None:
+    async def test_an_answer_that_crosses_the_cancel_is_acked_and_released_but_not_passed_on(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "udp")
         self.assertEqual((await caller.invite("late", ("X-Timer-Ms", "1000"))).status, 503)
-        await self.eventually(lambda: "CANCEL" in self.standin.methods())
-        self.standin.accept(next(iter(self.standin.hold.values())))
-        await self.eventually(lambda: {"ACK", "BYE"} <= set(self.standin.methods()))
+        await self.eventually(lambda: "CANCEL" in self.sip_desk.methods())
+        self.sip_desk.accept(next(iter(self.sip_desk.invites.values())))
+        await self.eventually(lambda: {"ACK", "BYE"} <= set(self.sip_desk.methods()))
 
     async def test_the_answer_is_resent_until_its_ack(self) -> None:
         daemon = await self.start_sip()
@@ -92,7 +102,7 @@
         (call,) = daemon.sip.dialogs.values()
         await self.eventually(lambda: call.timer is None)
 
-    async def test_a_refusal_says_when_to_come_back(self) -> None:
+    async def test_a_refusal_has_retry_after(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "udp")
         answer = await caller.invite("503")
@@ -106,55 +116,55 @@
         for transport in ("udp", "tcp"):
             caller = await self.sip_caller(daemon, transport)
             await caller.invite("ok")
-            self.standin.bye(list(self.standin.hold)[-1])
+            self.sip_desk.bye(list(self.sip_desk.invites)[-1])
             bye = await caller.peer.until("BYE")
             self.assertEqual((bye.get("call-id"), parameter(bye.get("to"), "tag")), (caller.call, caller.tag))
 
-    async def test_a_tcp_connection_closed_before_the_answer_gets_it_once_where_the_caller_listens(self) -> None:
+    async def test_after_its_connection_closed_a_caller_gets_the_answer_once_where_it_listens(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "tcp")
         listener = await SipListener.start()
         caller.address = listener.address
         caller.renew()
         caller.peer.send(caller.build("INVITE", number="late"))
-        await self.eventually(lambda: self.standin.hold)
+        await self.eventually(lambda: self.sip_desk.invites)
         caller.peer.close()
         await self.eventually(lambda: self.events("connection_end"))
-        self.standin.accept(next(iter(self.standin.hold.values())))
-        await self.eventually(lambda: listener.got)
-        self.assertEqual(listener.got[0].status, 200)
+        self.sip_desk.accept(next(iter(self.sip_desk.invites.values())))
+        await self.eventually(lambda: listener.received)
+        self.assertEqual(listener.received[0].status, 200)
         caller.peer = listener.peer
-        caller.ack(listener.got[0])
+        caller.ack(listener.received[0])
         (call,) = daemon.sip.dialogs.values()
         await self.eventually(lambda: call.timer is None)
-        self.assertEqual([one.status for one in listener.got], [200])
+        self.assertEqual([one.status for one in listener.received], [200])
         caller.peer.send(caller.build("BYE"))
         await self.eventually(lambda: self.events("call_end"))
         self.assertEqual(self.events("call_end")[0]["result"], "released")
 
-    async def test_an_answer_with_no_way_to_its_caller_frees_the_desk(self) -> None:
+    async def test_an_answer_that_cannot_reach_its_caller_releases_the_call_at_the_desk(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "tcp")
         caller.renew()
         caller.peer.send(caller.build("INVITE", number="late"))  # its Via names no listener
-        await self.eventually(lambda: self.standin.hold)
+        await self.eventually(lambda: self.sip_desk.invites)
         caller.peer.close()
         await self.eventually(lambda: self.events("connection_end"))
-        self.standin.accept(next(iter(self.standin.hold.values())))
-        await self.eventually(lambda: "BYE" in self.standin.methods())
+        self.sip_desk.accept(next(iter(self.sip_desk.invites.values())))
+        await self.eventually(lambda: "BYE" in self.sip_desk.methods())
         await self.eventually(lambda: self.events("call_end"))
         self.assertEqual((len(daemon.sip.dialogs), len(daemon.agent.lives)), (0, 0))
 
-    async def test_a_contact_with_a_name_is_not_looked_up(self) -> None:
+    async def test_a_host_name_in_a_contact_is_not_resolved(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "udp")
-        own, caller.address = caller.address, "phone.example"
+        real_address, caller.address = caller.address, "phone.example"
         await caller.invite("ok")
-        self.standin.bye(list(self.standin.hold)[-1])
-        await caller.peer.until("BYE")  # at the address that the call came from
-        self.assertNotEqual(own, caller.address)
+        self.sip_desk.bye(list(self.sip_desk.invites)[-1])
+        await caller.peer.until("BYE")  # sent to the address that the call came from
+        self.assertNotEqual(real_address, caller.address)
 
-    async def test_requests_outside_and_out_of_order(self) -> None:
+    async def test_requests_outside_a_dialog_or_out_of_order_are_refused(self) -> None:
         daemon = await self.start_sip()
         caller = await self.sip_caller(daemon, "udp")
         await caller.invite("ok")
@@ -169,14 +179,14 @@
 
 
 class BadRequests(SipTestCase):
-    async def test_each_gets_its_status(self) -> None:
+    async def test_each_bad_request_gets_its_status(self) -> None:
         daemon = await self.start_sip()
         for transport in ("udp", "tcp"):
             caller = await self.sip_caller(daemon, transport)
             for status, message in (
                 (405, caller.build("PUBLISH")),
                 (420, caller.build("OPTIONS", ("Require", "rel9"))),
-                (483, self.hops(caller)),
+                (483, self.no_hops_left(caller)),
                 (400, caller.build("INVITE", ("X-Cos", "nobody"))),
                 (400, caller.build("INVITE", ("X-Timer-Ms", "soon"))),
                 (481, caller.build("BYE")),
@@ -198,7 +208,7 @@
         self.assertEqual(self.events("fault"), [])
 
     @staticmethod
-    def hops(caller: SipCaller) -> Message:
+    def no_hops_left(caller: SipCaller) -> Message:
         message = caller.build("INVITE")
         message.headers = [(n, "0" if n == "Max-Forwards" else v) for n, v in message.headers]
         return message
@@ -214,22 +224,22 @@
 
 
 class SipListener:
-    """Where a caller takes connections."""
+    """A TCP listener on which a caller accepts connections."""
 
-    got: list[Message]
+    received: list[Message]
     peer: Peer
     address: str
 
     @classmethod
     async def start(cls) -> "SipListener":
         self = cls()
-        self.got = []
+        self.received = []
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.peer = Peer(reader, writer)
             try:
                 while True:
-                    self.got.append(await self.peer.next())
+                    self.received.append(await self.peer.next())
             except (EOFError, OSError, asyncio.CancelledError):
                 writer.close()
 
--- a/tests/udp_peer.py
+++ b/tests/udp_peer.py
@@ -10,10 +10,10 @@
 
 
 class UdpPeer(asyncio.DatagramProtocol):
-    """A scripted peer's UDP socket, with the calls of `Peer`."""
+    """A scripted peer's UDP socket with the same methods as `Peer`."""
 
     def __init__(self) -> None:
-        self.got: asyncio.Queue[tuple[Message, Any]] = asyncio.Queue()
+        self.received: asyncio.Queue[tuple[Message, Any]] = asyncio.Queue()
         self.address, self.source = "", ("", 0)
 
     @classmethod
@@ -26,13 +26,13 @@
         return peer
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.got.put_nowait((parse_datagram(data), addr))
+        self.received.put_nowait((parse_datagram(data), addr))
 
     def send(self, message: Message | bytes) -> None:
         self.transport.sendto(message if isinstance(message, bytes) else message.encode(), self.source)
 
     async def next(self) -> Message:
-        message, self.source = await asyncio.wait_for(self.got.get(), HANG_TIMEOUT)
+        message, self.source = await asyncio.wait_for(self.received.get(), HANG_TIMEOUT)
         return message
 
     until = Peer.until
