--- a/seamlb/desks/keeper.py
+++ b/seamlb/desks/keeper.py
@@ -72,7 +72,7 @@
             await asyncio.wait_for(self.link.wakeup.wait(), seconds)
 
     def _close_unused(self) -> bool:
-        """Close one connection without set-ups; False if there is none, until set-ups on them time out."""
+        """Close one connection without set-ups; False if all have some, which will time out and free a connection."""
         unused = (one for one in self.link.connections if not self.link.legs.unanswered(one))
         connection = next((one for one in unused if not (one.in_use() or one.has_unread_data())), None)
         if connection is None:
--- a/seamlb/discovery/board.py
+++ b/seamlb/discovery/board.py
@@ -16,8 +16,10 @@
 from seamlb.routing.model import Availability, Changed, Desk, Scope
 
 POLL_WAIT = 2.0  # seconds the board may hold a poll until there is an event
-SILENCE_MARGIN = 1.5  # seconds beyond that before a poll has timed out; a drain must be known within 7 s
-RETRY_MIN, RETRY_MAX = 0.1, 0.5  # seconds; with the connect time below 2 s, when missed events count as known
+SILENCE_MARGIN = 1.5  # seconds after that until a poll times out; a drain must be known within 7 s
+# Seconds between retries; with the connect time they stay below 2 s, after which events missed in an outage count as
+# known.
+RETRY_MIN, RETRY_MAX = 0.1, 0.5
 MAX_LAG = 7.0  # seconds the board may be late; its events count as known after that
 PHASES = {"Ready": Availability.READY, "Terminating": Availability.DRAINING, "Gone": Availability.GONE}
 
--- a/seamlb/net/connection.py
+++ b/seamlb/net/connection.py
@@ -12,18 +12,18 @@
 from seamlb import log
 from seamlb.net.reason import CloseReason
 
-READ_CHUNK = 64 * 1024
-READ_PER_TURN = 16 * 1024  # bytes; other connections are served after that much, so that one cannot starve them
-MAX_UNSENT = 1024 * 1024
+READ_CHUNK = 64 * 1024  # bytes
+READ_PER_TURN = 16 * 1024  # bytes read from a connection before others are served, so that a flood starves none
+MAX_UNSENT = 1024 * 1024  # bytes
 MAX_UNSENT_CLIENT = 128 * 1024  # bytes per caller: hundreds of callers may all stop reading
-WRITE_TIMEOUT = 5.0
+WRITE_TIMEOUT = 5.0  # seconds
 # Seconds from accept to the first complete message, and from the first byte of a later message to its last: a caller
 # that sends nothing or never completes a message must be gone within 3 s. Between messages it may stay idle.
 MESSAGE_TIMEOUT = 2.0
 GRACE_TURNS = 3  # event loop turns after the timeout in which data that has already arrived reaches its reader
 # After a refusal that ends a connection, incoming data is discarded for a while: closing a socket with unread data
-# resets the connection, and the peer could lose the refusal.
-LINGER_TIME = 1.0
+# resets the connection, and the peer may lose the refusal.
+LINGER_TIME = 1.0  # seconds
 LINGER_BYTES = 64 * 1024 * 1024
 LINGER_PAUSE = 0.002  # seconds between discarded chunks: a flood must not take the CPU from other callers
 
--- a/tests/test_board_restarts.py
+++ b/tests/test_board_restarts.py
@@ -74,15 +74,15 @@
         self.assertEqual(self.watched(server)[:3], ["0", "9", "0"])
 
     async def test_truncated_or_malformed_lists_change_nothing(self) -> None:
-        whole = listed(2, 2, ("a", "Gone"))
-        text = json.dumps(whole).encode()
+        removal = listed(2, 2, ("a", "Gone"))
+        text = json.dumps(removal).encode()
         truncated = [
             b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(text[:size]) + text[:size]
             for size in (0, 1, 40, 80)
         ]
         malformed = [http(one) for one in ([], {}, {"rev": 2}, {"rev": 2, "notices": [{"rev": 2, "pool": [1]}]}, "a")]
         server, published = await self.play(
-            listed(1, 1, ("a", "Ready"), complete=True), *truncated, *malformed, whole
+            listed(1, 1, ("a", "Ready"), complete=True), *truncated, *malformed, removal
         )
         self.assertEqual(published, [{"a": READY}, {"a": GONE}])
         self.assertEqual(self.watched(server), ["0", *["1"] * (len(truncated) + len(malformed) + 1), "2"])
--- a/tests/test_desk_silence.py
+++ b/tests/test_desk_silence.py
@@ -56,9 +56,8 @@
 
     async def test_a_quiet_desk_with_calls_is_tested_and_keeps_its_calls(self) -> None:
         desk, daemon, caller = await self.established_call()
-        await self.eventually(
-            lambda: len(desk.peers) == 2
-        )  # the desk reports its state on the new one, so it is alive
+        # The desk reports its state on the new one, so it is alive.
+        await self.eventually(lambda: len(desk.peers) == 2)
         await self.eventually(lambda: len(daemon.desks.links["d0"].connections) == 1)
         desk.peers[1].send(bye("00000000000000a1", 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -66,9 +66,8 @@
 
     async def test_at_the_limit_idle_connections_are_evicted_those_without_a_request_first(self) -> None:
         # Hundreds of connections that sent nothing, or one request each, kept other callers out.
-        daemon = await self.start(
-            ScriptedDesk(never_answer), limits={"sockets": 9}, settings=LONG_TARGETS
-        )  # allows 3 callers
+        # Allows 3 callers.
+        daemon = await self.start(ScriptedDesk(never_answer), limits={"sockets": 9}, settings=LONG_TARGETS)
         busy, asked, silent = await self.caller(), await self.caller(), await self.caller()
         busy.send(invite())
         asked.send(sip_request("OPTIONS", "t"))
@@ -91,14 +90,14 @@
         with mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.05):
             await self.start(ScriptedDesk())
             callers = [await self.caller() for _ in range(4)]
-            whole = sip_request("OPTIONS", "t").encode()
-            for caller, data in zip(callers, (b"", whole[:40], whole + whole[:40], whole), strict=True):
+            encoded = sip_request("OPTIONS", "t").encode()
+            for caller, data in zip(callers, (b"", encoded[:40], encoded + encoded[:40], encoded), strict=True):
                 caller.send(data)
             for caller in callers[:3]:
                 with self.assertRaises(EOFError):
                     await caller.until(404)
             await asyncio.sleep(0.1)
-            callers[3].send(whole)
+            callers[3].send(encoded)
             for _ in range(2):
                 self.assertEqual((await callers[3].next()).status, 200)
         self.assertEqual(self.reasons(), ["slow"] * 3)
@@ -229,9 +228,8 @@
             daemon.front.releases.pending,
         ):
             self.assertFalse(table)
-        await self.eventually(
-            lambda: len(desks.tasks) <= 2 and len(agent.tasks) == 0
-        )  # one connection manager, one reader
+        # One connection manager, one reader.
+        await self.eventually(lambda: len(desks.tasks) <= 2 and len(agent.tasks) == 0)
 
 
 class ModuleClock(DaemonTestCase):
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -54,10 +54,10 @@
         self.enterContext(mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.2))
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
-        whole = invite().encode()
-        caller.send(whole[:30])
+        encoded = invite().encode()
+        caller.send(encoded[:30])
         await self.eventually(lambda: any(one.framer.data for one in daemon.front.clients))
-        caller.send(whole[30:])
+        caller.send(encoded[30:])
         time.sleep(0.4)
         self.assertEqual((await caller.next()).status, 200)
 
@@ -70,9 +70,8 @@
         answer = reply(await desk.until("INVITE"), 200, body=SDP)
         await asyncio.sleep(2 * STATE_SPREAD)  # the first connection is silent for longer than STATE_SPREAD
         (link,) = daemon.desks.links.values()
-        await self.eventually(
-            lambda: len(link.connections) == 2
-        )  # a second connection tests it, as the set-up has no answer
+        # A second connection tests it, as the set-up has no answer.
+        await self.eventually(lambda: len(link.connections) == 2)
         reported = mock.Mock(wraps=link.state_reported)
         with mock.patch.object(link, "state_reported", reported):
             desk.peers[1].send(state())
@@ -87,10 +86,10 @@
         self.enterContext(mock.patch.object(connection, "MESSAGE_TIMEOUT", 0.2))
         daemon = await self.start(ScriptedDesk())
         caller = await self.caller()
-        whole = sip_request("OPTIONS", "t").encode()
-        caller.send(whole[:10])
+        encoded = sip_request("OPTIONS", "t").encode()
+        caller.send(encoded[:10])
         await self.eventually(lambda: any(one.framer.data for one in daemon.front.clients))
-        caller.send(whole[10:11])
+        caller.send(encoded[10:11])
         began = time.monotonic()
         time.sleep(0.3)
         with self.assertRaises(EOFError):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -84,8 +84,8 @@
         """A caller got a session description that contained bytes of the next message."""
 
         async def truncated(peer: Peer, message: Message) -> None:
-            whole = reply(message, 200, body=SDP).encode()
-            peer.send(whole[:-9] + reply(message, 503).encode())
+            encoded = reply(message, 200, body=SDP).encode()
+            peer.send(encoded[:-9] + reply(message, 503).encode())
 
         await self.start(ScriptedDesk(truncated))
         caller = await self.caller()
@@ -116,8 +116,8 @@
         caller = await self.caller()
         caller.send(invite())
         await caller.until(200)
-        whole = bye(ID, 16).encode()
-        desk.peers[0].send(whole[: whole.index(b"CSeq") + 3])
+        encoded = bye(ID, 16).encode()
+        desk.peers[0].send(encoded[: encoded.index(b"CSeq") + 3])
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
         await self.eventually(lambda: "slow" in [one["reason"] for one in self.events("connection_end")])
 
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -194,9 +194,8 @@
         daemon = await self.start(desk)
         results: list[object] = []
         request = daemon.front._parse_request(invite(), ID)
-        desk.peers[0].writer.get_extra_info("socket").shutdown(
-            socket.SHUT_RDWR
-        )  # the event loop has not seen this yet
+        # The event loop has not seen this yet.
+        desk.peers[0].writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         daemon.desks.set_up(Attempt(request, 0, "d0", 3000.0), lambda leg, result: results.append(result))
         await self.eventually(lambda: results)
         self.assertEqual(results, [Answer(SDP)])
