--- a/seamlb/desks/legs.py
+++ b/seamlb/desks/legs.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from seamlb.net.connection import Connection
-from seamlb.routing.model import Attempt, Heard, Outcome
+from seamlb.routing.model import Attempt, AttemptCallback, Outcome
 
 CLOSED_LEG_TTL = 30.0  # seconds a leg that has ended is still known
 
@@ -18,7 +18,7 @@
     """An attempt sent to a server, then the call established by it."""
 
     attempt: Attempt
-    notify: Heard
+    notify: AttemptCallback
     connection: Connection | None = None  # None: waits for a connection
     established: bool = False
     sent_at: float = 0.0  # loop time in seconds
--- a/seamlb/desks/platform.py
+++ b/seamlb/desks/platform.py
@@ -12,7 +12,7 @@
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.report import NOTES, parse_report
 from seamlb.protocol.sip import Message, parameter, response
-from seamlb.routing.model import Answer, Attempt, Availability, Desk, Heard, Outcome, Status
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Availability, Desk, Outcome, Status
 
 STATUSES = {503: Status.FULL, 486: Status.ERROR, 500: Status.ERROR, 480: Status.NOT_RUN, 504: Status.RESET}
 CAUSE_NORMAL = 16  # Q.850: normal call clearing
@@ -39,7 +39,7 @@
 
     # -- called by the core -------------------------------------------------------------------
 
-    def listed(self, desk: Desk) -> None:
+    def desk_changed(self, desk: Desk) -> None:
         """Keep a connection to each listed server, on which it reports the state of its group."""
         link = self.links.get(desk.ident)
         if link is not None and (link.desk.address != desk.address or desk.availability == Availability.GONE):
@@ -56,14 +56,14 @@
         if desk.availability != Availability.READY:
             link.fail_waiting()  # a connection that opens late must not carry set-ups to a draining server
 
-    def set_up(self, attempt: Attempt, notify: Heard) -> None:
+    def set_up(self, attempt: Attempt, notify: AttemptCallback) -> None:
         """Start an attempt; `notify` gets at most one Answer and then exactly one Outcome."""
         if link := self.links.get(attempt.desk):
             link.set_up(Leg(attempt, notify, sent_at=asyncio.get_running_loop().time()))
         else:
             notify(attempt.leg, Outcome(Status.CONNECT_FAILED))
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt, without further notification."""
         leg = self.legs.remove(_attempt_key(attempt))
         link = self.links.get(attempt.desk)
@@ -81,7 +81,7 @@
         if link := self.links.get(attempt.desk):
             link.release(attempt, cause)
 
-    def free(self, desk: str) -> None:
+    def close_idle(self, desk: str) -> None:
         """Close idle connections to a desk."""
         if link := self.links.get(desk):
             link.close_idle(CloseReason.IDLE)
--- a/seamlb/desks/requests.py
+++ b/seamlb/desks/requests.py
@@ -25,7 +25,7 @@
 
 def invite(attempt: Attempt) -> Message:
     """Build the set-up of an attempt."""
-    timer = max(1, int(attempt.within_ms))
+    timer = max(1, int(attempt.timeout_ms))
     headers = ("X-Cos", attempt.request.class_name), ("X-Timer-Ms", str(timer))
     return request("INVITE", attempt, *headers, body=attempt.request.description)
 
--- a/seamlb/desks/sip.py
+++ b/seamlb/desks/sip.py
@@ -11,7 +11,7 @@
 from seamlb.protocol.dialog import Dialog
 from seamlb.protocol.report import NOTES, parse_report
 from seamlb.protocol.sip import Message, digits, parameter, response
-from seamlb.routing.model import Answer, Attempt, Availability, Desk, Heard, Outcome, Status
+from seamlb.routing.model import Answer, Attempt, AttemptCallback, Availability, Desk, Outcome, Status
 from seamlb.sip.endpoint import Entry, Flow, SipEndpoint, Target, uri_target
 
 STATUSES = {
@@ -33,7 +33,7 @@
     """An INVITE sent to a desk, then its dialog."""
 
     attempt: Attempt
-    notify: Heard
+    notify: AttemptCallback
     invite: Message
     target: Target
     entry: Entry | None = None
@@ -63,7 +63,7 @@
 
     # -- called by the core -------------------------------------------------------------------
 
-    def listed(self, desk: Desk) -> None:
+    def desk_changed(self, desk: Desk) -> None:
         """Update a desk of the list, and cut the calls of one that was removed, restarted or has moved."""
         old = self.desks.pop(desk.ident, None)
         if desk.availability != Availability.GONE:
@@ -75,7 +75,7 @@
                     self._remove(leg)
                     leg.notify(leg.attempt.leg, Outcome(Status.RESET, cause=CAUSE_CUT))
 
-    def set_up(self, attempt: Attempt, notify: Heard) -> None:
+    def set_up(self, attempt: Attempt, notify: AttemptCallback) -> None:
         """Start an attempt; `notify` gets at most one Answer and then exactly one Outcome."""
         desk = self.desks.get(attempt.desk)
         if desk is None:
@@ -96,7 +96,7 @@
             self.on_relayed,
         )
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt, without further notification."""
         leg = self.legs.pop((attempt.desk, attempt.request.ident), None)
         if leg:
@@ -112,7 +112,7 @@
             if leg.dialog:
                 self._bye(leg, leg.dialog, cause)
 
-    def free(self, desk: str) -> None:
+    def close_idle(self, desk: str) -> None:
         """Do nothing: the endpoint closes idle connections by itself."""
 
     def close(self) -> None:
@@ -132,7 +132,7 @@
             ("CSeq", "1 INVITE"),
             ("Contact", self.endpoint.contact(target.transport)),
             ("X-Cos", request.class_name),
-            ("X-Timer-Ms", str(max(1, int(attempt.within_ms)))),
+            ("X-Timer-Ms", str(max(1, int(attempt.timeout_ms)))),
         ]
         if request.description:
             headers.append(("Content-Type", request.description_type))
--- a/seamlb/discovery/board.py
+++ b/seamlb/discovery/board.py
@@ -13,7 +13,7 @@
 from seamlb.discovery.poller import Poller, PollError
 from seamlb.net.reason import CloseReason
 from seamlb.protocol.notices import Notice, NoticeError, parse_notices
-from seamlb.routing.model import Availability, Changed, Desk, Scope
+from seamlb.routing.model import Availability, Desk, DeskListCallback, Scope
 
 POLL_WAIT = 2.0  # seconds the board may hold a poll until there is an event
 SILENCE_MARGIN = 1.5  # seconds after that until a poll times out; a drain must be known within 7 s
@@ -27,7 +27,9 @@
 class Board:
     """Follows the list of desks with long polls on one connection."""
 
-    def __init__(self, address: str, zones: Sequence[str], on_change: Changed, skip_first_wait: bool = False) -> None:
+    def __init__(
+        self, address: str, zones: Sequence[str], on_change: DeskListCallback, skip_first_wait: bool = False
+    ) -> None:
         self.address = address
         self.caught_up = asyncio.Event()  # set after the first answer, which brings all earlier events
         self.skip_first_wait = skip_first_wait  # the first poll is answered immediately
--- a/seamlb/fronts/calls.py
+++ b/seamlb/fronts/calls.py
@@ -9,7 +9,7 @@
 from seamlb.fronts.releases import ReleaseSender
 from seamlb.net.connection import Connection
 from seamlb.protocol.sip import Framer, Message, response
-from seamlb.routing.agent import Life
+from seamlb.routing.agent import CallSession
 
 if TYPE_CHECKING:
     from seamlb.fronts.platform import PlatformFront
@@ -33,13 +33,13 @@
     client: Client
     invite: Message
     ident: str
-    session: Life | None = None
+    session: CallSession | None = None
 
     def _send_final(self, message: Message) -> bool:
         self.client.unanswered.pop(self.ident, None)
         return self.client.connection.send(message.encode())
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         """Answer 200 with the desk's session description; False if the connection has ended."""
         sent = self._send_final(response(self.invite, 200, body=description))
         if sent:
--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -54,13 +54,13 @@
 
     def apply_lifecycle(self, now: float) -> None:
         """Stop listening and close connections without an unanswered set-up, as the lifecycle requires."""
-        if not self.lifecycle.listens(now):
+        if not self.lifecycle.accepts_connections(now):
             self.listener.stop()
-        min_idle = self.lifecycle.spares(now)
+        min_idle = self.lifecycle.quiet_limit(now)
         if min_idle == math.inf:
             return
         self.flush()
-        kept = {call.client for call in self.calls.values()} if self.lifecycle.keeps_standing else set()
+        kept = {call.client for call in self.calls.values()} if self.lifecycle.keeps_established_calls else set()
         for client in self.clients - kept:
             # A partly received message has its own timeout, so its caller is not cut off in the middle of it.
             if not client.framer.data and client.connection.is_idle(min_idle):
@@ -175,7 +175,7 @@
 
     def _caller_left(self, call: Call, cause: int) -> None:
         if call.session:
-            self.agent.caller_left(call.session, cause)
+            self.agent.caller_hung_up(call.session, cause)
 
     def _invite(self, client: Client, message: Message, ident: str, known: Call | None) -> None:
         if known is not None or ident in self.reused_ids:  # a reused Call-ID must never start a second attempt
@@ -192,10 +192,10 @@
             client.connection.send(response(message, 400, ("Warning", f'399 seamlb "{error}"')).encode())
             return
         client.unanswered[ident] = call
-        call.session = self.agent.take(request, call)
+        call.session = self.agent.accept(request, call)
         if call.session:
             self.calls[ident] = call
-            call.session.closed = lambda: self.calls.pop(ident, None)
+            call.session.on_closed = lambda: self.calls.pop(ident, None)
 
     def _mark_reused(self, ident: str) -> None:
         """Refuse a Call-ID that was used twice from now on: rule 5 would bar it, its answers would be ambiguous."""
--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -16,7 +16,7 @@
 from seamlb.net.lag import EventLoopLag
 from seamlb.protocol.dialog import Dialog, Resender
 from seamlb.protocol.sip import Message, digits, parameter, response
-from seamlb.routing.agent import Agent, Life
+from seamlb.routing.agent import Agent, CallSession
 from seamlb.routing.model import Request
 from seamlb.sip.endpoint import Entry, Flow, SipEndpoint, Target, uri_target
 from seamlb.sip.settings import SipFrontConfig
@@ -39,7 +39,7 @@
     entry: Entry
     flow: Flow
     tag: str
-    session: Life | None = None
+    session: CallSession | None = None
     dialog: Dialog | None = None
     resender: Resender | None = None
     timer: asyncio.TimerHandle | None = None
@@ -54,7 +54,7 @@
         answer = response(self.invite, status, *extra, body=body, tag=self.tag if status > 100 else "")
         self.front.endpoint.respond(self.entry, answer)
 
-    def stands(self, description: bytes) -> bool:
+    def established(self, description: bytes) -> bool:
         """Answer 200 with the desk's session description, unchanged, and resend it until the ACK arrives."""
         if self.answered:
             return False
@@ -164,7 +164,7 @@
 
     def apply_lifecycle(self, now: float) -> None:
         """Stop listening when the lifecycle requires it; caller connections stay open until the process ends."""
-        if not self.lifecycle.listens(now):
+        if not self.lifecycle.accepts_connections(now):
             self.endpoint.stop_listening()
 
     def close(self) -> None:
@@ -251,7 +251,7 @@
     def caller_left(self, call: Call, cause: int) -> None:
         """Tell the core that the caller has gone or that its call cannot continue."""
         if call.session:
-            self.agent.caller_left(call.session, cause)
+            self.agent.caller_hung_up(call.session, cause)
 
     # -- a new call ---------------------------------------------------------------------------
 
@@ -269,7 +269,7 @@
         except InvalidCallError as error:
             return call.respond(400, ("Warning", f'399 seamlb "{error}"'))
         self.pending[entry.key] = call
-        call.session = self.agent.take(request, call)
+        call.session = self.agent.accept(request, call)
 
     def _parse_request(self, message: Message, ident: str, transport: str) -> Request:
         config, settings = self.config, self.agent.settings
--- a/tests/test_board_restarts.py
+++ b/tests/test_board_restarts.py
@@ -98,7 +98,7 @@
         await caller.until(200)
         daemon.agent.list_changed(api.Scope.FULL, [self.desk(0, desk.address)])
         await asyncio.sleep(0)
-        self.assertEqual((len(desk.peers), len(daemon.agent.lives)), (1, 1))
+        self.assertEqual((len(desk.peers), len(daemon.agent.sessions)), (1, 1))
 
     async def test_an_empty_list_is_applied_and_calls_are_refused_at_once(self) -> None:
         # Removed desks must get no new calls, so the list is obeyed even if it leaves no desk.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,7 +10,7 @@
 from seamlb.net.connection import Connection
 from seamlb.net.dial import connect
 from seamlb.protocol.sip import MAX_MESSAGE, Message
-from seamlb.routing.life import Heard, Life
+from seamlb.routing.life import AttemptUpdate, CallSession
 from seamlb.routing.model import Answer, Outcome
 from tests.loopback import (
     HANG_TIMEOUT,
@@ -36,35 +36,35 @@
         caller = await self.caller()
         caller.send(invite())
         await desk.until("INVITE")
-        (life,) = daemon.agent.lives.values()
-        return daemon, desk, caller, life
+        (session,) = daemon.agent.sessions.values()
+        return daemon, desk, caller, session
 
     async def test_no_attempt_starts_if_the_cancel_follows_the_decision_in_the_same_turn(self) -> None:
-        daemon, desk, _, life = await self.open_call()
-        life.news.put_nowait(ended(life, api.Status.RESET))  # no new attempt for 300 ms
-        await self.eventually(lambda: life.attempt is None)
+        daemon, desk, _, session = await self.open_call()
+        session.inbox.put_nowait(ended(session, api.Status.RESET))  # no new attempt for 300 ms
+        await self.eventually(lambda: session.attempt is None)
         # the 300 ms are over, and in the same turn of the event loop
-        life.news.put_nowait(api.SendSetUp(life.number, 0, 1000.0))
-        daemon.agent.caller_left(life)  # the caller cancels
-        await self.eventually(lambda: not daemon.agent.lives)
+        session.inbox.put_nowait(api.SendSetUp(session.number, 0, 1000.0))
+        daemon.agent.caller_hung_up(session)  # the caller cancels
+        await self.eventually(lambda: not daemon.agent.sessions)
         await self.assert_no_set_up(daemon, desk)
         self.assertEqual(self.events("call_end")[-1]["result"], "left")
 
     async def test_a_cancel_in_the_same_turn_as_the_answer_suppresses_it_and_releases_the_call(self) -> None:
-        daemon, desk, caller, life = await self.open_call()
-        life.news.put_nowait(answered(life))
-        daemon.agent.caller_left(life)
+        daemon, desk, caller, session = await self.open_call()
+        session.inbox.put_nowait(answered(session))
+        daemon.agent.caller_hung_up(session)
         await desk.until("BYE")
         caller.send(sip_request("OPTIONS", "t"))
         self.assertEqual((await caller.next()).get("call-id"), "t")  # and no answer before it
 
     async def test_a_cancel_while_the_call_is_barred_prevents_the_next_attempt(self) -> None:
-        daemon, desk, caller, life = await self.open_call()
-        life.news.put_nowait(ended(life, api.Status.RESET))  # no new attempt for 300 ms
-        await self.eventually(lambda: life.attempt is None)
+        daemon, desk, caller, session = await self.open_call()
+        session.inbox.put_nowait(ended(session, api.Status.RESET))  # no new attempt for 300 ms
+        await self.eventually(lambda: session.attempt is None)
         caller.send(sip_request("CANCEL", ID))
-        await self.eventually(lambda: not daemon.agent.lives)
-        daemon.agent.tell(api.TimerFired(life.number))  # the 300 ms are over
+        await self.eventually(lambda: not daemon.agent.sessions)
+        daemon.agent.notify(api.TimerFired(session.number))  # the 300 ms are over
         await self.assert_no_set_up(daemon, desk)
 
     async def assert_no_set_up(self, daemon: Any, desk: ScriptedDesk) -> None:
@@ -75,16 +75,16 @@
             self.assertNotEqual(message.method, "INVITE")
 
 
-def ended(life: Life, status: api.Status) -> Heard:
+def ended(session: CallSession, status: api.Status) -> AttemptUpdate:
     """The update that the current attempt has ended."""
-    assert life.attempt
-    return Heard(life.attempt.leg, Outcome(status))
+    assert session.attempt
+    return AttemptUpdate(session.attempt.leg, Outcome(status))
 
 
-def answered(life: Life) -> Heard:
+def answered(session: CallSession) -> AttemptUpdate:
     """The update that the current attempt was answered."""
-    assert life.attempt
-    return Heard(life.attempt.leg, Answer(SDP))
+    assert session.attempt
+    return AttemptUpdate(session.attempt.leg, Answer(SDP))
 
 
 class ServerCrossings(DaemonTestCase):
@@ -118,7 +118,7 @@
     async def test_a_set_up_cancelled_while_the_connection_is_opened_is_not_sent(self) -> None:
         daemon, desk, caller, may_connect = await self.waiting()
         caller.send(sip_request("CANCEL", ID))
-        await self.eventually(lambda: not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.agent.sessions)
         may_connect.set()
         await self.eventually(lambda: daemon.desks.links["d0"].connections)
         daemon.desks.links["d0"].connections[-1].send(sip_request("OPTIONS", "end").encode())
@@ -138,7 +138,7 @@
         await caller.until(200)
         desk.peers[0].send(bye(ID, 16))
         self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
-        await self.eventually(lambda: not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.agent.sessions)
 
     async def test_an_oversized_answer_ends_the_attempt_and_another_server_gets_the_call(self) -> None:
         async def oversized(peer: Peer, message: Message) -> None:
@@ -182,7 +182,7 @@
     async def test_a_release_that_crossed_the_end_of_its_connection_is_sent_on_another(self) -> None:
         daemon, desk, first, second = await self.established_call()
         desk.peers[0].send(bye(ID, 16))
-        await self.eventually(lambda: not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.agent.sessions)
         first.close()  # without having read the release
         self.assertEqual((await second.until("BYE")).get("call-id"), ID)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,7 @@
 from seamlb.net.reason import CloseReason
 from tests.http_peers import ScriptedHttpServer, http, notices
 from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, invite, sip_request
-from tests.processes import ProcessStory
+from tests.processes import ProcessTestCase
 from tests.support import RAW
 
 SOCKETS = 64  # descriptor limit of the process
@@ -35,7 +35,7 @@
     assert clients + management + RESERVED + 2 * servers <= total or clients == int(total * MIN_CALLER_SHARE)
 
 
-class ManyIdleCallers(ProcessStory):
+class ManyIdleCallers(ProcessTestCase):
     async def test_idle_callers_block_neither_discovery_nor_servers_nor_operators(self) -> None:
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "c.json"
         listen, management, board = [await self.free_address() for _ in range(3)]
@@ -51,8 +51,8 @@
             )
         )
         limited = f"ulimit -n {SOCKETS}; exec {self.python} -m seamlb serve --config {path}"
-        agent = await self.process("-c", limited, program="sh")
-        await self.line(agent, '"serving"')
+        agent = await self.start_process("-c", limited, program="sh")
+        await self.wait_for_line(agent, '"serving"')
         agent.send_signal(signal.SIGSTOP)  # so that all connections are accepted in one turn of its event loop
         crowd = [await Peer.connect(listen) for _ in range(IDLE_CALLERS)]
         agent.send_signal(signal.SIGCONT)
--- a/tests/test_desk_silence.py
+++ b/tests/test_desk_silence.py
@@ -38,7 +38,7 @@
         desk.server.close()  # open connections stay open, and nothing arrives on them
         peer = desk.peers[0]
         await self.eventually(lambda: self.events("connection_end"))  # refused, as by a draining desk
-        self.assertTrue(daemon.agent.lives)
+        self.assertTrue(daemon.agent.sessions)
         peer.send(STATE)
         last_message = asyncio.get_running_loop().time()
         self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
@@ -92,7 +92,7 @@
                 with mock.patch("seamlb.desks.keeper.connect", connect):
                     await self.eventually(lambda left=left: len(left) == 1)
                     await asyncio.sleep(0.1)
-                    self.assertTrue(daemon.agent.lives)
+                    self.assertTrue(daemon.agent.sessions)
                     desk.peers[0].send(bye("00000000000000a1", 16))
                     self.assertIn("cause=16", (await caller.until("BYE")).get("reason"))
 
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -44,7 +44,7 @@
             self.assertEqual({(one.method, one.status) for one in received}, {("", 200), ("BYE", 0)})
             self.assertIn(SDP, [one.body for one in received])
         caller.close()
-        await self.eventually(lambda: not daemon.front.clients and not daemon.agent.lives)
+        await self.eventually(lambda: not daemon.front.clients and not daemon.agent.sessions)
         await self.eventually(lambda: len(asyncio.all_tasks()) == tasks)
 
     async def test_an_exception_in_one_call_fails_only_that_call(self) -> None:
@@ -63,7 +63,7 @@
         caller.send(invite("00000000000000a2"))
         self.assertEqual((await caller.until(200)).get("call-id"), "00000000000000a2")
         daemon.agent.list_changed(api.Scope.DELTA, [])  # the caller of list_changed gets no exception
-        self.assertEqual([one["where"] for one in self.events("fault")], ["life", "module"])
+        self.assertEqual([one["where"] for one in self.events("fault")], ["session", "module"])
         self.assertEqual(daemon.agent.unanswered, 0)
 
 
@@ -178,7 +178,7 @@
         for uri, body in (("sip:a b@net".replace(" ", "%20"), b""), ("sip:@net", b""), (good.uri, b"x" * 15800)):
             caller.send(Message("INVITE", uri, headers=good.headers, body=body))
             self.assertEqual((await caller.next()).status, 400, uri)
-        self.assertEqual(daemon.agent.taken, 0)
+        self.assertEqual(daemon.agent.accepted, 0)
 
     async def test_a_request_that_cannot_be_answered_ends_its_connection(self) -> None:
         await self.start(ScriptedDesk())
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -60,7 +60,7 @@
             caller.peer.send(caller.sent)
             self.assertEqual((await caller.peer.next()).status, 100)
         await self.eventually(lambda: self.sip_desk.invites)
-        self.assertEqual((daemon.agent.taken, len(self.sip_desk.invites)), (1, 1))
+        self.assertEqual((daemon.agent.accepted, len(self.sip_desk.invites)), (1, 1))
         merged = caller.build("INVITE", number="slow", seq=caller.seq, branch="z9hG4bKother")
         merged.headers = [(n, f"{caller.seq - 1} INVITE" if n == "CSeq" else v) for n, v in merged.headers]
         caller.peer.send(merged)
@@ -153,7 +153,7 @@
         self.sip_desk.accept(next(iter(self.sip_desk.invites.values())))
         await self.eventually(lambda: "BYE" in self.sip_desk.methods())
         await self.eventually(lambda: self.events("call_end"))
-        self.assertEqual((len(daemon.sip.dialogs), len(daemon.agent.lives)), (0, 0))
+        self.assertEqual((len(daemon.sip.dialogs), len(daemon.agent.sessions)), (0, 0))
 
     async def test_a_host_name_in_a_contact_is_not_resolved(self) -> None:
         daemon = await self.start_sip()
@@ -204,7 +204,7 @@
                 "Content-Length: 0\r\n\r\n".encode()
             )
             self.assertEqual((await caller.peer.until(400)).status, 400)
-        self.assertEqual(daemon.agent.taken, 0)
+        self.assertEqual(daemon.agent.accepted, 0)
         self.assertEqual(self.events("fault"), [])
 
     @staticmethod
