--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -1,4 +1,4 @@
-"""The SIP front: the caller's side of a B2BUA over UDP and TCP, on the same core as the platform front."""
+"""The SIP front: the caller's side of a B2BUA (RFC 3261) over UDP and TCP, on the same core as the platform front."""
 
 from __future__ import annotations
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -43,9 +43,9 @@
         daemon, desk, _, session = await self.open_call()
         session.inbox.put_nowait(ended(session, api.Status.RESET))  # no new attempt for 300 ms
         await self.eventually(lambda: session.attempt is None)
-        # the 300 ms are over, and in the same turn of the event loop
+        # The 300 ms are over, and the caller cancels in the same turn of the event loop.
         session.inbox.put_nowait(api.SendSetUp(session.number, 0, 1000.0))
-        daemon.agent.caller_hung_up(session)  # the caller cancels
+        daemon.agent.caller_hung_up(session)
         await self.eventually(lambda: not daemon.agent.sessions)
         await self.assert_no_set_up(daemon, desk)
         self.assertEqual(self.events("call_end")[-1]["result"], "left")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -19,12 +19,12 @@
     async def serve(self, *desks: ScriptedDesk, **change: Any) -> Any:
         daemon = await self.start(*desks, management="127.0.0.1:0", **change)
         daemon.management.start()
-        self.operators = f"127.0.0.1:{daemon.management.listener.port}"
+        self.management_address = f"127.0.0.1:{daemon.management.listener.port}"
         daemon._every(UPDATE_INTERVAL_S, "lifecycle", daemon.update_connections)
         return daemon
 
     async def raw(self, data: bytes) -> bytes:
-        reader, writer = await asyncio.open_connection(*self.operators.split(":"))
+        reader, writer = await asyncio.open_connection(*self.management_address.split(":"))
         writer.write(data)
         response = await asyncio.wait_for(reader.read(), HANG_TIMEOUT)
         writer.close()
@@ -151,7 +151,7 @@
     async def test_clients_without_a_complete_request_do_not_block_others(self) -> None:
         with mock.patch.object(management, "MAX_CONNECTIONS", 3):
             daemon = await self.serve(ScriptedDesk())
-        incomplete = [await Peer.connect(self.operators) for _ in range(5)]
+        incomplete = [await Peer.connect(self.management_address) for _ in range(5)]
         for peer in incomplete:
             peer.send(b"GET /admin/hea")
             self.addCleanup(peer.close)
