--- a/tests/sip_peers.py
+++ b/tests/sip_peers.py
@@ -119,8 +119,8 @@
                     self._invite(peer, message)
                 elif message.method == "CANCEL":
                     peer.send(response(message, 200, tag="desk"))
-                    if (held := self.invites.get(message.get("call-id"))) and held.uri.startswith("sip:slow"):
-                        peer.send(response(held, 487, tag="desk"))
+                    if (invite := self.invites.get(message.get("call-id"))) and invite.uri.startswith("sip:slow"):
+                        peer.send(response(invite, 487, tag="desk"))
                 elif message.method == "BYE":
                     peer.send(response(message, 200))
         except (EOFError, OSError, asyncio.CancelledError):
@@ -143,8 +143,8 @@
         self.peer.send(response(message, 200, contact, body=SDP, tag="desk"))
 
     def bye(self, ident: str) -> None:
-        held = self.invites[ident]
-        contact = held.get("contact").partition("<")[2].partition(">")[0]
+        invite = self.invites[ident]
+        contact = invite.get("contact").partition("<")[2].partition(">")[0]
         self.peer.send(
             Message(
                 "BYE",
@@ -152,8 +152,8 @@
                 headers=[
                     ("Via", f"SIP/2.0/{self.transport.upper()} {self.address};branch=z9hG4bKbye{ident}"),
                     ("Max-Forwards", "70"),
-                    ("From", held.get("to") + ";tag=desk"),
-                    ("To", held.get("from")),
+                    ("From", invite.get("to") + ";tag=desk"),
+                    ("To", invite.get("from")),
                     ("Call-ID", ident),
                     ("CSeq", "1 BYE"),
                     ("Reason", "Q.850;cause=16"),
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -7,17 +7,8 @@
 from tests.sip_peers import SipCaller, SipTestCase
 from tests.udp_peer import UdpPeer
 
-MIX = (
-    "ok1",
-    "486",
-    "480",
-    "504",
-    "500",
-    "ok2",
-    "ok3",
-    "503",
-    "slow",
-)  # responses that make the module pause its attempts come last
+# Responses that make the module pause its attempts come last.
+MIX = ("ok1", "486", "480", "504", "500", "ok2", "ok3", "503", "slow")
 
 
 class BothTransports(SipTestCase):
