--- a/seamlb/desks/reader.py
+++ b/seamlb/desks/reader.py
@@ -7,7 +7,7 @@
 from seamlb import log
 from seamlb.net.connection import Connection
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.sip import Framer, Message, SipError, releases
+from seamlb.protocol.sip import Framer, Message, SipError, find_byes
 
 PARTIAL_MESSAGE_TIMEOUT = 0.25  # seconds; after a truncated answer the connection is unusable
 SALVAGE_TIME = 0.25  # seconds in which releases are still read from an abandoned connection
@@ -35,7 +35,7 @@
 
     def __init__(self, owner: ReaderOwner, connection: Connection) -> None:
         self.owner, self.connection = owner, connection
-        self.framer = Framer(whole=True)
+        self.framer = Framer(check_bodies=True)
         self.residual = bytearray()  # data received after the framing was lost
         connection.message_timeout, connection.linger_time = PARTIAL_MESSAGE_TIMEOUT, SALVAGE_TIME
         connection.on_message_timeout = self._message_timed_out
@@ -49,7 +49,7 @@
             self.owner.lost(self.connection)
 
     def _received(self, data: bytes) -> None:
-        messages = self.framer.take(data, self._message, self._malformed)
+        messages = self.framer.feed_and_dispatch(data, self._message, self._malformed)
         self.connection.messages_read(messages, bool(self.framer.data))
 
     def _message(self, message: Message) -> None:
@@ -59,7 +59,7 @@
     def _malformed(self, error: SipError) -> None:
         # After one malformed answer none can be trusted: its set-ups end now, not when they time out.
         log.event("malformed", kind="desk", peer=self.connection.peer, error=str(error))
-        self._abandon(CloseReason.MALFORMED, self.framer.left)
+        self._abandon(CloseReason.MALFORMED, self.framer.unparsed)
 
     def _message_timed_out(self) -> None:
         self._abandon(CloseReason.SLOW, bytes(self.framer.data))
@@ -77,7 +77,7 @@
     def _salvage(self, data: bytes) -> None:
         """Find releases of established calls in unframed data: the server sends each release only once."""
         self.residual.extend(data)
-        for message in releases(bytes(self.residual)):
+        for message in find_byes(bytes(self.residual)):
             self.owner.salvaged(message)
         if len(self.residual) > SALVAGE_BYTES:
             self.connection.close(self.connection.linger_reason or CloseReason.MALFORMED)
--- a/seamlb/discovery/board.py
+++ b/seamlb/discovery/board.py
@@ -55,12 +55,12 @@
             self.rev, self.ignore_older_until = 0, asyncio.get_running_loop().time() + MAX_LAG
             return
         for notice in notices:
-            if notice.rev > self.rev:
-                self.rev = notice.rev
-                if self.ignore_older_until < math.inf and notice.revision < self.revision:
+            if notice.event_number > self.rev:
+                self.rev = notice.event_number
+                if self.ignore_older_until < math.inf and notice.list_revision < self.revision:
                     self.skipped = True
                     continue
-                self.revision = max(self.revision, notice.revision)
+                self.revision = max(self.revision, notice.list_revision)
                 self._publish(notice)
         self.rev = max(self.rev, last)
 
@@ -90,7 +90,7 @@
             )
         first, self.published = not self.published, True
         self.on_change(Scope.CACHED if first else Scope.FULL if notice.complete else Scope.DELTA, desks)
-        log.event("list", rev=notice.rev, complete=notice.complete, desks=len(desks))
+        log.event("list", rev=notice.event_number, complete=notice.complete, desks=len(desks))
 
     def set_address(self, address: str) -> None:
         """Switch to another address of the board; the event numbers continue."""
--- a/seamlb/discovery/poller.py
+++ b/seamlb/discovery/poller.py
@@ -7,7 +7,7 @@
 from seamlb.net.connection import Connection
 from seamlb.net.dial import ConnectError, connect
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.http import HttpError, Response, ResponseReader, get
+from seamlb.protocol.http import HttpError, Response, ResponseReader, get_request
 
 CONNECT_TIMEOUT = 1.0  # seconds
 
@@ -36,7 +36,7 @@
             self.responses = asyncio.Queue()
             self.reading = asyncio.get_running_loop().create_task(self._read(self.connection, self.responses))
         connection = self.connection
-        connection.send(get(path, self.address))
+        connection.send(get_request(path, self.address))
         next_response = asyncio.get_running_loop().create_task(self.responses.get())
         try:
             await asyncio.wait((next_response, self.reading), timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
@@ -48,7 +48,7 @@
             response = next_response.result()
         finally:
             next_response.cancel()
-        if not response.keeps:
+        if not response.keep_alive:
             connection.close(CloseReason.PEER_CLOSED)
         return response
 
--- a/seamlb/fronts/figures.py
+++ b/seamlb/fronts/figures.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from seamlb.api import CallClass
-from seamlb.protocol.report import read_figures
-from seamlb.protocol.sip import digits
+from seamlb.protocol.report import parse_figures_strict
+from seamlb.protocol.sip import is_decimal
 
 MAX_CELLS = 1 << 16  # the number of a pool or exchange has 16 bits
 
@@ -31,7 +31,7 @@
     Protects the decision module and the desks from values that are not numbers or that no call of the class has.
     """
     try:
-        values = read_figures(text)
+        values = parse_figures_strict(text)
     except ValueError as error:
         raise InvalidCallError(f"X-Legs: {error}") from None
     if default_destination is None and "dest" not in values:
@@ -54,7 +54,7 @@
 
 def parse_timeout(text: str, call_class: CallClass, name: str) -> float:
     """Return how many ms the caller waits, which must not exceed the deadline of its class."""
-    if not digits(text):
+    if not is_decimal(text):
         raise InvalidCallError(f"{name} is no number of milliseconds")
     if float(text) > call_class.deadline:
         raise InvalidCallError(f"{name} is longer than the class may wait")
--- a/seamlb/fronts/management.py
+++ b/seamlb/fronts/management.py
@@ -13,7 +13,7 @@
 from seamlb.net.connection import Connection
 from seamlb.net.listener import Listener
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.http import HttpError, Request, RequestReader, answer
+from seamlb.protocol.http import HttpError, Request, RequestReader, encode_response
 
 MAX_CONNECTIONS = 32  # at the limit, the one that has waited longest without a complete request is closed
 REQUEST_TIMEOUT = 5.0  # seconds from accept to a complete request
@@ -69,7 +69,7 @@
         if handler is None:
             return json_response(404, error="unknown path")
         if request.method != method:
-            return answer(405, b"", ("Allow", method))
+            return encode_response(405, b"", ("Allow", method))
         return handler(request)
 
 
@@ -135,4 +135,4 @@
 
 def json_response(status: int, **facts: Any) -> bytes:
     """Return a response with a JSON object."""
-    return answer(status, orjson.dumps(facts, option=orjson.OPT_APPEND_NEWLINE))
+    return encode_response(status, orjson.dumps(facts, option=orjson.OPT_APPEND_NEWLINE))
--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -16,15 +16,15 @@
 from seamlb.net.lag import EventLoopLag
 from seamlb.net.listener import Listener
 from seamlb.net.reason import CloseReason
-from seamlb.protocol.sip import MAX_MESSAGE, Message, SipError, digits, parameter, response
+from seamlb.protocol.sip import MAX_MESSAGE_BYTES, Message, SipError, is_decimal, parameter, response
 from seamlb.routing.agent import Agent
 from seamlb.routing.model import Request
 
 ALLOW = ("Allow", "INVITE, ACK, CANCEL, BYE, OPTIONS")
 CAUSE_NORMAL = 16  # Q.850: normal call clearing
-CALL_ID = re.compile(r"[0-9A-Fa-f]{16}")  # PROTOCOL: a Call-ID is 16 hex digits
+CALL_ID = re.compile(r"[0-9A-Fa-f]{16}")  # PROTOCOL: a Call-ID is 16 hex is_decimal
 NUMBER = re.compile(r"[0-9A-Za-z+*#._-]{1,64}")  # forwarded to desks unchanged
-MAX_BODY = MAX_MESSAGE - 1024  # bytes; the rest is for the headers that are added
+MAX_BODY = MAX_MESSAGE_BYTES - 1024  # bytes; the rest is for the headers that are added
 MAX_REUSED_IDS = 1024  # Call-IDs remembered because they were used twice
 
 
@@ -111,7 +111,7 @@
         connection.in_use = lambda: bool(client.unanswered)
 
         def received(data: bytes) -> None:
-            messages = client.framer.take(
+            messages = client.framer.feed_and_dispatch(
                 data, lambda message: self._request(client, message), lambda error: self._malformed(client, error)
             )
             connection.messages_read(messages, bool(client.framer.data))
@@ -137,10 +137,10 @@
 
     def _malformed(self, client: Client, error: SipError) -> None:
         log.event("malformed", kind="client", peer=client.connection.peer, error=str(error))
-        request = error.answerable()
+        request = error.request_to_answer()
         if request:
             client.connection.send(response(request, error.status).encode())
-        if error.lost or not request:  # without a response, closing the connection tells the caller
+        if error.fatal or not request:  # without a response, closing the connection tells the caller
             client.connection.lingering_close(CloseReason.MALFORMED)
             self._disconnected(client)
 
@@ -167,7 +167,7 @@
                 if own_call:
                     client.unanswered.pop(ident, None)
                     cause = parameter(message.get("reason"), "cause")
-                    self._caller_left(own_call, int(cause) if digits(cause) else CAUSE_NORMAL)
+                    self._caller_left(own_call, int(cause) if is_decimal(cause) else CAUSE_NORMAL)
             case "OPTIONS":
                 client.connection.send(response(message, 200 if self.lifecycle.ready else 503).encode())
             case _:
@@ -209,7 +209,7 @@
         if name not in settings.class_ids:
             raise InvalidCallError("unknown class")
         if not CALL_ID.fullmatch(ident):
-            raise InvalidCallError("Call-ID is not 16 hex digits")
+            raise InvalidCallError("Call-ID is not 16 hex is_decimal")
         tenant = message.get("x-operator")
         if tenant and settings.tenant_ids and tenant not in settings.tenant_ids:
             raise InvalidCallError("unknown tenant")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -159,7 +159,7 @@
         reader, responses = ResponseReader(), []
         for index in range(len(data)):
             if response := reader.feed(data[index : index + 1]):
-                responses.append((response.status, response.body, response.keeps))
+                responses.append((response.status, response.body, response.keep_alive))
         self.assertEqual(responses, [(200, b"abcde", True), (204, b"", False)])
 
     def test_invalid_responses_raise(self) -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -32,7 +32,7 @@
 
     async def call(self, method: str, path: str) -> tuple[int, Any]:
         response = ResponseReader().feed(await self.raw(f"{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode()))
-        assert response and not response.keeps
+        assert response and not response.keep_alive
         return response.status, json.loads(response.body) if response.body else None
 
     async def test_measures_are_available_if_enabled_and_agree_with_the_stats(self) -> None:
