--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -22,7 +22,7 @@
 
 ALLOW = ("Allow", "INVITE, ACK, CANCEL, BYE, OPTIONS")
 CAUSE_NORMAL = 16  # Q.850: normal call clearing
-CALL_ID = re.compile(r"[0-9A-Fa-f]{16}")  # PROTOCOL: a Call-ID is 16 hex is_decimal
+CALL_ID = re.compile(r"[0-9A-Fa-f]{16}")  # PROTOCOL: a Call-ID is 16 hex digits
 NUMBER = re.compile(r"[0-9A-Za-z+*#._-]{1,64}")  # forwarded to desks unchanged
 MAX_BODY = MAX_MESSAGE_BYTES - 1024  # bytes; the rest is for the headers that are added
 MAX_REUSED_IDS = 1024  # Call-IDs remembered because they were used twice
@@ -209,7 +209,7 @@
         if name not in settings.class_ids:
             raise InvalidCallError("unknown class")
         if not CALL_ID.fullmatch(ident):
-            raise InvalidCallError("Call-ID is not 16 hex is_decimal")
+            raise InvalidCallError("Call-ID is not 16 hex digits")
         tenant = message.get("x-operator")
         if tenant and settings.tenant_ids and tenant not in settings.tenant_ids:
             raise InvalidCallError("unknown tenant")
