--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -207,16 +207,16 @@
                 agent.list_changed(api.Scope.DELTA, [added, replace(added, availability=gone)])
                 continue
             agent.list_changed(api.Scope.DELTA, [self.desk(0, desk.address, gone), added])
-            core = agent.module.node.fleet.servers[agent.numbers[added.ident]]
+            core = agent.module.node.fleet.servers[agent.desk_numbers[added.ident]]
             core.cold_from, core.tokens = float("-inf"), 2.0
             caller.send(invite(ident))
             await caller.until(200)
             agent.list_changed(api.Scope.DELTA, [replace(added, availability=gone), self.desk(0, desk.address)])
             self.assertIn("cause=41", (await caller.until("BYE")).get("reason"))
             await self.eventually(lambda: not agent.sessions)
-        self.assertEqual(list(agent.numbers), ["d0"])
-        self.assertEqual(list(agent.names), list(agent.numbers.values()))
-        self.assertEqual(agent.next_number, 2021)  # 2,000 desks, and d0 again 21 times: no number was reused
+        self.assertEqual(list(agent.desk_numbers), ["d0"])
+        self.assertEqual(list(agent.desk_ids), list(agent.desk_numbers.values()))
+        self.assertEqual(agent.next_number, 2021)  # 2,000 desks and 21 registrations of d0: no number was reused
         self.assertEqual((len(agent.listed), len(agent.module.node.fleet.servers), len(desks.links)), (1, 1, 1))
         for table in (
             agent.sessions,
