--- a/seamlb/emulator/lab.py
+++ b/seamlb/emulator/lab.py
@@ -15,8 +15,8 @@
 from seamlb.emulator.scenario import DeskFault, Policy, Result, Scenario
 from seamlb.planning.files import load_problem
 from seamlb.planning.model import Plan, PlanningError, Problem
-from seamlb.planning.plan_files import plan_of
-from seamlb.plugins.checking import compile_text
+from seamlb.planning.plan_files import read_plan_file
+from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.syntax import RuleError
 
 FIGURES = ("worth", "worst_class", "worst_office", "cost", "attempts_per_call", "fallen", "late", "broken")
@@ -84,7 +84,7 @@
                 f"{path}: scenario {entry.name}: unknown desk, office or district {unknown_names[0]!r}"
             )
     if experiment.plan:
-        plan = plan_of(path.parent / experiment.plan)[0]
+        plan = read_plan_file(path.parent / experiment.plan)[0]
     else:
         from seamlb.planning.solve import InfeasibleError, solve
 
@@ -104,7 +104,7 @@
     file = path.parent / experiment.rules
     try:
         text = file.read_text()
-        known = compile_text(text, str(file)).declared
+        known = compile_rules(text, str(file)).declarations
     except OSError as error:
         raise PlanningError(f"{file}: {error.strerror}") from None
     except RuleError as error:
--- a/seamlb/emulator/policies.py
+++ b/seamlb/emulator/policies.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from seamlb.emulator.scenario import Policy
-from seamlb.planning.carry import carry
-from seamlb.planning.files import split
+from seamlb.planning.carry import optimal_flows
+from seamlb.planning.files import apportion
 from seamlb.planning.model import Flows, Plan, Problem, objective
 
 RULES_SUFFIX = "+rules"
@@ -31,7 +31,7 @@
 
 
 def _plan(problem: Problem, routes: Counter[tuple[str, str, str]], placement: frozenset[tuple[str, str]]) -> Plan:
-    flows = carry(problem, placement, exact=False)
+    flows = optimal_flows(problem, placement, exact=False)
     return Plan(placement, Flows(flows.supply, dict(routes)), objective(problem, placement, flows), "stopped")
 
 
@@ -49,7 +49,7 @@
     routes: Counter[tuple[str, str, str]] = Counter()
     for (kind, district), units in sorted(units_by_class_and_district(problem).items()):
         desks = {desk: 1 for desk, skill in sorted(placement) if skill == kind}
-        for desk, share in split(units, desks).items() if desks else ():
+        for desk, share in apportion(units, desks).items() if desks else ():
             routes[kind, district, desk] += share
     return _plan(problem, routes, placement)
 
@@ -64,7 +64,9 @@
         key=lambda item: (-problem.kind[item[0][0]].value, item[0]),
     )
     for (kind, district), units in order:
-        by_distance = sorted(problem.desks, key=lambda d: (problem.time(district, d.district), -d.agents, d.name))
+        by_distance = sorted(
+            problem.desks, key=lambda d: (problem.latency_us(district, d.district), -d.agents, d.name)
+        )
         for desk in by_distance:
             name, extended = desk.name, assigned[desk.name] | {kind}
             if not problem.allowed(desk, kind) or (desk.most_classes and len(extended) > desk.most_classes):
--- a/seamlb/emulator/run.py
+++ b/seamlb/emulator/run.py
@@ -20,12 +20,12 @@
 )
 from seamlb.emulator.standin import SimulatedDesk, make_rng
 from seamlb.emulator.world import REPORT_INTERVAL_S, EmulatedDesks, SimulatedCaller
-from seamlb.planning.draw import StickyDraw
-from seamlb.planning.follow import Followed, Guide
+from seamlb.planning.draw import RendezvousHash
+from seamlb.planning.follow import FollowedPlan, PlanFollower
 from seamlb.planning.model import PERMILLE, Problem, weights
 from seamlb.plugins.advisor import PluginAdvisor
 from seamlb.plugins.chain import Chain
-from seamlb.plugins.checking import compile_text
+from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.host import Grant, Plugin
 from seamlb.plugins.machine import Interpreter
 from seamlb.routing.agent import Agent
@@ -64,13 +64,13 @@
         self.clients: dict[str, EmulatedDesks] = {}
         for index, district in enumerate(sorted(problem.districts)):
             self._add_agent(index, district)
-        self.district_draws = {pair: StickyDraw(units) for pair, units in weights(problem, policy.plan.flows).items()}
-        totals: dict[str, Counter[str]] = defaultdict(Counter)
+        self.draws = {pair: RendezvousHash(units) for pair, units in weights(problem, policy.plan.flows).items()}
+        sums: dict[str, Counter[str]] = defaultdict(Counter)
         for (kind, _), units in weights(problem, policy.plan.flows).items():
-            totals[kind].update(units)
+            sums[kind].update(units)
         for desk, kind in sorted(policy.plan.placement):
-            totals[kind].setdefault(desk, 0)
-        self.class_draws = {kind: StickyDraw({d: u or 1 for d, u in units.items()}) for kind, units in totals.items()}
+            sums[kind].setdefault(desk, 0)
+        self.fallbacks = {kind: RendezvousHash({d: u or 1 for d, u in units.items()}) for kind, units in sums.items()}
 
     def now(self) -> float:
         """The virtual time in milliseconds."""
@@ -86,8 +86,8 @@
         settings = replace(settings, classes=tuple(replace(c, pools=pools[c.name] or None) for c in settings.classes))
         steering = None
         if policy.repairs_plan:
-            steering = Guide(settings, tuple(o.name for o in sorted_offices(problem)))
-            steering.adopt(0.0, Followed(problem, policy.plan, district))
+            steering = PlanFollower(settings, tuple(o.name for o in sorted_offices(problem)))
+            steering.set_plan(0.0, FollowedPlan(problem, policy.plan, district))
         advisor = self._advisor(settings) if policy.rules else None
         agent = Agent(settings, self.seed * 1000 + index, clock=self.now, steering=steering, advisor=advisor)
         client = EmulatedDesks(lambda desk: self.one_way_delay(district, desk), self.holding)
@@ -96,7 +96,7 @@
         self.agents[district], self.clients[district] = agent, client
 
     def _advisor(self, settings: api.Settings) -> PluginAdvisor:
-        program = compile_text(self.policy.rules)
+        program = compile_rules(self.policy.rules)
         names = [office.name for office in sorted_offices(self.problem)]
         top_class = max(settings.classes, key=lambda kind: kind.worth).name
         chain = Chain(
@@ -109,14 +109,14 @@
             lambda name, facts: None,
             lambda: 0.0,
         )
-        chain.load(0.0, Plugin(program, Interpreter(program), Grant(most=1.0)))
+        chain.load(0.0, Plugin(program, Interpreter(program), Grant(max_share=1.0)))
         for name, subject in self.scenario.states:
             chain.set_state(name, subject, True)
         return PluginAdvisor(chain, settings, names, self.now)
 
     def one_way_delay(self, district: str, desk: str) -> float:
         """Seconds that a message takes between a district and a desk."""
-        return self.problem.time(district, self.problem.desk[desk].district) / 1e6 + 0.0005
+        return self.problem.latency_us(district, self.problem.desk[desk].district) / 1e6 + 0.0005
 
     def holding(self, request: Request, desk: str) -> float:
         """Mean holding time in seconds; longer if the class is the desk's second choice."""
@@ -188,7 +188,7 @@
                 return
             count += 1
             called = f"{int(rng.integers(NUMBER_COUNT))}"
-            draw = self.district_draws.get((kind, district)) or self.class_draws.get(kind)
+            draw = self.draws.get((kind, district)) or self.fallbacks.get(kind)
             desk = draw.pick(called.encode()) if draw else None
             deadline = self.agents[district].settings.classes[class_index].deadline
             request = Request(
--- a/seamlb/emulator/scenario.py
+++ b/seamlb/emulator/scenario.py
@@ -99,7 +99,7 @@
                 {"Name": office.name, "AllowancePerS": office.share * total_rate / PERMILLE}
                 for office in sorted_offices(problem)
             ],
-            "OverShareWorth": problem.over_worth / PERMILLE,
+            "OverShareWorth": problem.over_share_worth / PERMILLE,
             "MembershipMode": "pushed",
             "Report": {"Fields": REPORT_FIELDS, "Source": "answers"},
         }
