--- a/benchmarks/exhaustive.py
+++ b/benchmarks/exhaustive.py
@@ -50,4 +50,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(main(*(int(one) for one in (sys.argv[1:] + ["4000", "10000"][len(sys.argv) - 1 :]))))
+    sys.exit(main(*(int(argument) for argument in (sys.argv[1:] + ["4000", "10000"][len(sys.argv) - 1 :]))))
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -54,7 +54,7 @@
         "| desks, classes, districts | lost | repaired | solved again | repair loses, % | repair, ms | solve, ms |",
         "|" + " --- |" * 7,
     ]
-    for one in SIZES:
-        lines += measure(one)
+    for size in SIZES:
+        lines += measure(size)
     OUT.write_text("\n".join(lines) + "\n")
     print(OUT.read_text())
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -36,7 +36,7 @@
     rate = net.bytes_sent.total() / size / WATCH_S
     suspected, dead = (
         len(net.events("member_suspect")),
-        {facts["name"] for *_, what, facts in net.logged if what == "member_dead"},
+        {facts["name"] for *_, event, facts in net.logged if event == "member_dead"},
     )
     net.run_until_converged(names)
     net.logged.clear()
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -113,8 +113,8 @@
         self.start_stage()
 
     def start_stage(self) -> None:
-        self.counts = [one.copy() for one in self.streams.counts]
-        self.times = [{name: times.copy() for name, times in one.items()} for one in self.streams.times]
+        self.counts = [each.copy() for each in self.streams.counts]
+        self.times = [{name: times.copy() for name, times in each.items()} for each in self.streams.times]
 
     def is_worse(self, new: np.ndarray) -> bool:
         for name, *_ in CLASSES:
--- a/examples/hook.py
+++ b/examples/hook.py
@@ -1,16 +1,16 @@
-"""An example hook: calls to the flood line count as alerts, and every lost alert is printed."""
+"""An example hook: classifies calls to the flood line as alerts, and prints every lost alert."""
 
 import sys
 
 
 def classify(call):
-    """Before the module sees a sip call; None leaves it as it is."""
+    """Called before the decision module sees a sip call; None leaves the call unchanged."""
     if call["number"].startswith("flood-line"):
         return {"class": "alert-confirm"}
     return None
 
 
 def observe(result):
-    """After each call."""
+    """Called after each call."""
     if result["class"] == "alert-confirm" and result["result"] not in ("stood", "released"):
         print(f"alert {result['call']} {result['result']}", file=sys.stderr)
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,7 +1,7 @@
-"""A toy duty desk and a toy caller for the platform's dialect; it needs the standard library only.
+"""A toy desk and a toy caller for the platform's SIP dialect; needs only the standard library.
 
-python examples/toy.py desk                 # answers every call, releases it after a second
-python examples/toy.py call [CLASS]         # makes one call through the agent and tells what came of it
+python examples/toy.py desk                 # answers every call and releases it after one second
+python examples/toy.py call [CLASS]         # makes one call through the agent and prints the messages
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 async def read(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], str]:
-    """First line, headers in lower case, body."""
+    """Read a message: its first line, headers with lower-case names, and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
@@ -25,21 +25,21 @@
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    free, held = 4, set()
+    free, active_calls = 4, set()
 
-    def state() -> None:
+    def send_state() -> None:
         write(writer, "NOTIFY sip:exchange@net SIP/2.0", "0", "1 NOTIFY", f"X-Occupancy: idle:{free};circuits:4")
 
-    async def end(call: str) -> None:
+    async def release_later(call: str) -> None:
         nonlocal free
         await asyncio.sleep(1)
-        if call in held:
-            held.discard(call)
+        if call in active_calls:
+            active_calls.discard(call)
             free += 1
             write(writer, "BYE sip:caller@net SIP/2.0", call, "2 BYE", "Reason: Q.850;cause=16")
-            state()
+            send_state()
 
-    state()
+    send_state()
     tasks = set()
     try:
         while True:
@@ -49,13 +49,13 @@
                 write(writer, "SIP/2.0 503 Full", call, headers["cseq"], "X-Diagnosis: atb")
             elif method == "INVITE":
                 free -= 1
-                held.add(call)
+                active_calls.add(call)
                 write(writer, "SIP/2.0 200 OK", call, headers["cseq"], body="v=0\r\ns=toy desk\r\n")
-                state()
-                tasks.add(asyncio.create_task(end(call)))
+                send_state()
+                tasks.add(asyncio.create_task(release_later(call)))
             elif method == "BYE":
-                free += call in held
-                held.discard(call)
+                free += call in active_calls
+                active_calls.discard(call)
                 write(writer, "SIP/2.0 200 OK", call, headers["cseq"])
             print(first, flush=True)
     except asyncio.IncompleteReadError:
@@ -69,17 +69,17 @@
         await server.serve_forever()
 
 
-async def call(name: str) -> None:
+async def call(class_name: str) -> None:
     reader, writer = await asyncio.open_connection(*AGENT)
-    ident = secrets.token_hex(8)
-    headers = (f"X-Cos: {name}", "X-Timer-Ms: 5000", "X-Operator: pest-megye", "X-Legs: dest:0;width:1;via:-1")
+    call_id = secrets.token_hex(8)
+    headers = (f"X-Cos: {class_name}", "X-Timer-Ms: 5000", "X-Operator: pest-megye", "X-Legs: dest:0;width:1;via:-1")
     body = "v=0\r\ns=toy caller\r\n"
-    write(writer, "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0", ident, "1 INVITE", *headers, body=body)
+    write(writer, "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0", call_id, "1 INVITE", *headers, body=body)
     while True:
         first, headers_in, body = await read(reader)
         print(first, headers_in.get("reason", ""), body.replace("\r\n", " ").strip(), flush=True)
         if first.startswith("SIP/2.0 200") and headers_in["cseq"].endswith("INVITE"):
-            write(writer, "ACK sip:desk@net SIP/2.0", ident, "1 ACK")
+            write(writer, "ACK sip:desk@net SIP/2.0", call_id, "1 ACK")
         elif not first.startswith("SIP/2.0 1"):
             break  # refused, or released
     writer.close()
--- a/seamlb/emulator/audit.py
+++ b/seamlb/emulator/audit.py
@@ -1,4 +1,4 @@
-"""Checks the agent's rules against the events that callers and stand-in desks observe on their sockets.
+"""Checks the agent's rules against the events that callers and stub desks observe on their sockets.
 
 All times are in seconds. The audit sees nothing inside the agent: what is invisible from outside, such as a set-up
 that the agent has written but its desk has not yet read, is covered by the tolerance `SLACK_S`.
--- a/seamlb/emulator/load.py
+++ b/seamlb/emulator/load.py
@@ -194,7 +194,7 @@
     """Format the report: the parameters of the run, a table by class, violations and fault events."""
     outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(report.results.items()))
     lines = [
-        f"{load.front}, {load.rate:g} calls a second for {load.seconds:g} s, seed {load.seed}, "
+        f"{load.front}, {load.rate:g} calls/s for {load.seconds:g} s, seed {load.seed}, "
         f"{len(load.faults)} faults: {report.calls} calls: {outcomes}",
         "",
     ]
--- a/seamlb/emulator/loadsite.py
+++ b/seamlb/emulator/loadsite.py
@@ -88,7 +88,7 @@
     seed: int = 1
     faults: tuple[tuple[float, str, str], ...] = ()  # seconds, desk, kind: reset, mute, wake, full, empty, drain
     plugins: str = ""  # TOML tables to add to the plug-ins file
-    folder: str = ""  # for the plug-ins file, which may name files in it; empty: a temporary one
+    folder: str = ""  # in which the plug-ins file is written; empty: a temporary one
     site: Site = field(default_factory=Site)
 
 
--- a/seamlb/emulator/scenario.py
+++ b/seamlb/emulator/scenario.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeskFault:
-    """A fault of a desk, or its end, `at` seconds after the start of the run."""
+    """A fault of a desk, or its end, `at_s` seconds after the start of the run."""
 
     at_s: float
     desk: str
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -54,8 +54,8 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _count(self, what: str) -> None:
-        self.results[what] = self.results.get(what, 0) + 1
+    def _count(self, outcome: str) -> None:
+        self.results[outcome] = self.results.get(outcome, 0) + 1
 
     async def run(self, seconds: float) -> None:
         """Send set-ups for `seconds`, whatever the answers (open loop)."""
@@ -206,7 +206,7 @@
 
     async def crowd(self) -> None:
         """Connect many callers at once: some never read, some disconnect early."""
-        serving = [one for one in self.agents if one.new_calls]
+        serving = [agent for agent in self.agents if agent.new_calls]
         silent, leaving = self.plan.crowd
         for number in range(silent + leaving if serving else 0):
             agent = self.rng.choice(serving)
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -18,7 +18,7 @@
 
     def __init__(self, folder: Path, attempts_cap: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.began = self.loop.time()
+        self.started_at = self.loop.time()
         self.folder = folder
         self.audit = Audit(attempts_cap)
         self.traces: defaultdict[str, list[str]] = defaultdict(list)
@@ -30,7 +30,7 @@
 
     def note(self, call: str, party: str, text: str) -> None:
         """Add a line to the trace of a call; an empty `call` stands for the whole run."""
-        self.traces[call].append(f"{self.loop.time() - self.began:8.3f} {party}: {text}")
+        self.traces[call].append(f"{self.loop.time() - self.started_at:8.3f} {party}: {text}")
 
     async def _watch_clock(self) -> None:
         while True:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator: a clock that jumps, runs that repeat, rules that hold under its troubles; and the lab on top."""
+"""The emulator (virtual clock, reproducible runs, the agent's rules under desk faults) and `seamlb lab`."""
 
 import asyncio
 import math
@@ -30,21 +30,21 @@
     return make_policy("plan", FLOOD, solve(FLOOD))
 
 
-def test_the_clock_jumps_and_keeps_the_order() -> None:
-    async def story() -> list[str]:
-        told: list[str] = []
+def test_the_virtual_clock_jumps_to_the_next_timer_in_order() -> None:
+    async def scenario() -> list[str]:
+        log: list[str] = []
 
-        async def say(after: float, word: str) -> None:
-            await asyncio.sleep(after)
-            told.append(f"{word}@{asyncio.get_running_loop().time():.1f}")
+        async def append_after(delay: float, text: str) -> None:
+            await asyncio.sleep(delay)
+            log.append(f"{text}@{asyncio.get_running_loop().time():.1f}")
 
-        await asyncio.gather(say(3600.0, "late"), say(0.5, "soon"), say(0.5, "next"))
-        return told
+        await asyncio.gather(append_after(3600.0, "late"), append_after(0.5, "soon"), append_after(0.5, "next"))
+        return log
 
-    assert clock.run(story()) == ["soon@0.5", "next@0.5", "late@3600.0"]
+    assert clock.run(scenario()) == ["soon@0.5", "next@0.5", "late@3600.0"]
 
 
-def test_waiting_for_nothing_is_an_error() -> None:
+def test_waiting_without_a_pending_timer_is_an_error() -> None:
     async def forever() -> None:
         await asyncio.Event().wait()
 
@@ -52,81 +52,85 @@
         clock.run(forever())
 
 
-def test_the_same_seed_gives_the_same_run_and_pairs_the_policies(plan: Policy) -> None:
-    day = Scenario("x", faults=(DeskFault(2.0, "gyor-1", "crash"),))
-    one = emulate(FLOOD, plan, day, 7, 6.0)
-    assert one == emulate(FLOOD, plan, day, 7, 6.0) != emulate(FLOOD, plan, day, 8, 6.0)
-    assert emulate(FLOOD, make_policy("uniform", FLOOD, plan.plan), day, 7, 6.0).calls == one.calls > 100
+def test_equal_seeds_give_equal_runs_and_the_same_calls_for_every_policy(plan: Policy) -> None:
+    scenario = Scenario("x", faults=(DeskFault(2.0, "gyor-1", "crash"),))
+    result = emulate(FLOOD, plan, scenario, 7, 6.0)
+    assert result == emulate(FLOOD, plan, scenario, 7, 6.0) != emulate(FLOOD, plan, scenario, 8, 6.0)
+    assert emulate(FLOOD, make_policy("uniform", FLOOD, plan.plan), scenario, 7, 6.0).calls == result.calls > 100
 
 
-@pytest.mark.parametrize("what", ["crash", "hang", "slow", "drain"])
-def test_rules_hold_under_trouble(plan: Policy, what: str) -> None:
-    faults = [DeskFault(1.0, name, what, factor=40.0) for name in ("budapest-1", "szeged-1")]
-    faults += [DeskFault(8.0, "szeged-1", "return" if what == "crash" else "wake")]
-    calm, rough = (emulate(FLOOD, plan, Scenario("x", load=1.2, faults=tuple(t)), 3, 12.0) for t in ((), faults))
-    assert rough.broken == calm.broken == () and calm.late == 0 and rough.fallen == 0
-    # What is out at a desk that hangs or crawls ends with its caller's time: an attempt may use all of it.
-    assert rough.late == 0 or (what in ("hang", "slow") and rough.late < 0.1 * rough.calls)
-    # The trouble shows: in what is served or, where the other desks serve all of it, in repeated attempts.
-    assert (rough.worth, -rough.attempts) < (calm.worth, -calm.attempts)
-    if what == "drain":
-        assert rough.attempts < calm.attempts * 1.1
+@pytest.mark.parametrize("kind", ["crash", "hang", "slow", "drain"])
+def test_agents_keep_the_rules_under_desk_faults(plan: Policy, kind: str) -> None:
+    faults = [DeskFault(1.0, name, kind, factor=40.0) for name in ("budapest-1", "szeged-1")]
+    faults += [DeskFault(8.0, "szeged-1", "return" if kind == "crash" else "wake")]
+    normal, faulty = (
+        emulate(FLOOD, plan, Scenario("x", load=1.2, faults=tuple(desk_faults)), 3, 12.0)
+        for desk_faults in ((), faults)
+    )
+    assert faulty.broken == normal.broken == () and normal.late == 0 and faulty.fallen == 0
+    # An attempt at a hanging or slow desk may last until its caller gives up, as it may use all of the patience.
+    assert faulty.late == 0 or (kind in ("hang", "slow") and faulty.late < 0.1 * faulty.calls)
+    # The faults have an effect: on the worth or, if other desks serve every call, on the number of attempts.
+    assert (faulty.worth, -faulty.attempts) < (normal.worth, -normal.attempts)
+    if kind == "drain":
+        assert faulty.attempts < normal.attempts * 1.1
 
 
-def test_a_cold_desk_falls_over_when_too_much_is_sent() -> None:
-    async def story(count: int) -> tuple[int, list[Answer | Outcome]]:
+def test_a_cold_desk_crashes_under_too_many_setups() -> None:
+    async def run_desk(count: int) -> tuple[int, list[Answer | Outcome]]:
         contract = module_settings(Contract=CONTRACT).contract
         desk = SimulatedDesk("d", 50, 10.0, contract, make_rng(1, "d"))
         desk.restart()
-        heard: list[Answer | Outcome] = []
+        messages: list[Answer | Outcome] = []
         for n in range(count):
             attempt = Attempt(Request(str(n), 0, "a", 0, "1", 1000.0, 0), 0, "d", 1000.0)
-            desk.receive_setup(Job(attempt, lambda leg, what: heard.append(what), 0.01), 1.0)
+            desk.receive_setup(Job(attempt, lambda leg, message: messages.append(message), 0.01), 1.0)
         await asyncio.sleep(30.0)
-        return desk.overload_crashes, heard
+        return desk.overload_crashes, messages
 
-    assert clock.run(story(12))[0] == 0
-    fallen, heard = clock.run(story(20))
-    told = [one.status for one in heard if isinstance(one, Outcome)]
-    assert fallen == 1 and len(told) == 20
-    assert set(told) == {api.Status.RESET, api.Status.CONNECT_FAILED}
+    assert clock.run(run_desk(12))[0] == 0
+    crashes, messages = clock.run(run_desk(20))
+    statuses = [outcome.status for outcome in messages if isinstance(outcome, Outcome)]
+    assert crashes == 1 and len(statuses) == 20
+    assert set(statuses) == {api.Status.RESET, api.Status.CONNECT_FAILED}
 
 
-def test_a_processor_without_agents_or_time_turns_away() -> None:
-    async def story(agents: int, count: int) -> list[Answer | Outcome]:
+def test_a_desk_rejects_setups_without_a_free_agent_or_processor_time() -> None:
+    async def run_desk(agents: int, count: int) -> list[Answer | Outcome]:
         desk = SimulatedDesk("d", agents, 10.0, module_settings(Contract=CONTRACT).contract, make_rng(1, "d"))
-        heard: list[Answer | Outcome] = []
+        messages: list[Answer | Outcome] = []
         for n in range(count):
             attempt = Attempt(Request(str(n), 0, "a", 0, "1", 1000.0, 0), 0, "d", 1000.0)
-            desk.receive_setup(Job(attempt, lambda leg, what: heard.append(what), 0.0), 1000.0)
+            desk.receive_setup(Job(attempt, lambda leg, message: messages.append(message), 0.0), 1000.0)
         await asyncio.sleep(20.0)
-        return heard
+        return messages
 
-    told = clock.run(story(agents=3, count=5))
-    assert [isinstance(one, Answer) for one in told].count(True) == 3
-    notes = [one.note for one in clock.run(story(agents=3, count=60)) if isinstance(one, Outcome)]
-    assert notes.count(3) > 10 and notes.count(1) > 10  # turned away by the processor, and no agent free
+    received = clock.run(run_desk(agents=3, count=5))
+    assert [isinstance(event, Answer) for event in received].count(True) == 3
+    notes = [event.note for event in clock.run(run_desk(agents=3, count=60)) if isinstance(event, Outcome)]
+    assert notes.count(3) > 10 and notes.count(1) > 10  # rejected by the processor; no free agent
 
 
-def test_by_hand_policies_are_what_they_say() -> None:
-    spread, near = uniform(FLOOD), greedy(FLOOD)
-    assert spread.placement == {(d.name, k) for d in FLOOD.desks for k in FLOOD.kind if FLOOD.allowed(d, k)}
-    alert = {
+def test_hand_set_policies_place_and_route_as_documented() -> None:
+    uniform_plan, greedy_plan = uniform(FLOOD), greedy(FLOOD)
+    assert uniform_plan.placement == {(d.name, k) for d in FLOOD.desks for k in FLOOD.kind if FLOOD.allowed(d, k)}
+    alert_units = {
         desk: units
-        for (kind, district, desk), units in spread.flows.routes.items()
+        for (kind, district, desk), units in uniform_plan.flows.routes.items()
         if (kind, district) == ("alert-confirm", "szeged")
     }
-    assert max(alert.values()) - min(alert.values()) <= 1
-    assert not [line for line in check(FLOOD, near) if "grade of service" in line]
-    assert near.flows.routes["alert-confirm", "szeged", "szeged-1"] > 0  # the dearest class, at the nearest desk
+    assert max(alert_units.values()) - min(alert_units.values()) <= 1
+    assert not [line for line in check(FLOOD, greedy_plan) if "grade of service" in line]
+    # The class of the highest worth goes to the nearest desk.
+    assert greedy_plan.flows.routes["alert-confirm", "szeged", "szeged-1"] > 0
     with pytest.raises(ValueError, match="unknown policy"):
-        make_policy("best", FLOOD, spread)
+        make_policy("best", FLOOD, uniform_plan)
 
 
-def test_agents_are_told_of_the_problem() -> None:
-    told = agent_settings(FLOOD, 4, 2)
-    assert [kind.name for kind in told.classes] == sorted(FLOOD.kind) and told.zone == 2
-    assert sum(told.allowances) == pytest.approx(26.3, rel=0.01)
+def test_agent_settings_follow_the_problem() -> None:
+    settings = agent_settings(FLOOD, 4, 2)
+    assert [kind.name for kind in settings.classes] == sorted(FLOOD.kind) and settings.zone == 2
+    assert sum(settings.allowances) == pytest.approx(26.3, rel=0.01)
 
 
 # -- the lab ----------------------------------------------------------------------------------------
@@ -146,11 +150,11 @@
 
 
 def run(*args: object) -> tuple[int, str]:
-    done = CliRunner().invoke(main, ["lab", *map(str, args)])
-    return done.exit_code, done.output
+    result = CliRunner().invoke(main, ["lab", *map(str, args)])
+    return result.exit_code, result.output
 
 
-def test_results_are_kept_with_what_made_them_and_compared_in_pairs(tmp_path: Path) -> None:
+def test_results_state_their_provenance_and_are_compared_in_pairs(tmp_path: Path) -> None:
     path = experiment(tmp_path)
     for out in ("a", "b"):
         assert run("run", path, "--out", tmp_path / out, "--processes", 2)[0] == 0
@@ -160,8 +164,8 @@
     assert "seamlb lab run" in table.splitlines()[0] and "seeds 1 to 2" in table.splitlines()[0]
     assert len(results.load(tmp_path / "a/results.csv")) == 8
     file = tmp_path / "a/results.csv"
-    code, told = run("compare", f"{file}:plan", f"{file}:uniform")
-    assert code == 0 and told.count("\n") == 1 + 2 * (4 + 2 + 1)  # figures, classes, offices
+    code, output = run("compare", f"{file}:plan", f"{file}:uniform")
+    assert code == 0 and output.count("\n") == 1 + 2 * (4 + 2 + 1)  # figures, classes, offices
     assert run("compare", file, file)[0] == 2
     assert run("compare", f"{file}:plan", tmp_path / "none.csv:plan")[0] == 2
 
@@ -181,37 +185,45 @@
         ('seeds = 2->seeds = 2\nrules = "x.toml"', "x.toml:1:1"),
     ],
 )
-def test_a_bad_experiment_is_one_line(tmp_path: Path, change: str, reason: str) -> None:
-    code, told = run("run", experiment(tmp_path, change), "--out", tmp_path / "out")
-    assert code == 2 and reason in told and told.count("\n") == 1
+def test_an_invalid_experiment_is_reported_in_one_line(tmp_path: Path, change: str, reason: str) -> None:
+    code, output = run("run", experiment(tmp_path, change), "--out", tmp_path / "out")
+    assert code == 2 and reason in output and output.count("\n") == 1
 
 
-def test_intervals_by_students_t() -> None:
-    """Quantiles of the printed tables."""
-    for freedom, t in ((1, 12.706), (2, 4.303), (4, 2.776), (9, 2.262), (19, 2.093), (30, 2.042), (1000, 1.962)):
-        assert results._t975(freedom) == pytest.approx(t, rel=1e-3)
+def test_confidence_intervals_use_students_t() -> None:
+    """Compares with the quantiles of published tables."""
+    for degrees, t in ((1, 12.706), (2, 4.303), (4, 2.776), (9, 2.262), (19, 2.093), (30, 2.042), (1000, 1.962)):
+        assert results._t975(degrees) == pytest.approx(t, rel=1e-3)
     assert results.half_width([1.0, 2.0, 3.0]) == pytest.approx(4.303 / math.sqrt(3), rel=1e-3)
     rows = [{"scenario": "x", "seed": str(n), "policy": "p", **dict.fromkeys(lab.FIGURES, str(n))} for n in range(5)]
-    more = [one | {"worth": str(float(one["worth"]) + 1 + n % 2 / 10)} for n, one in enumerate(rows)]
-    line = next(one for one in results.compare(rows, more) if one.split()[1] == "worth")
+    changed_rows = [row | {"worth": str(float(row["worth"]) + 1 + n % 2 / 10)} for n, row in enumerate(rows)]
+    line = next(row for row in results.compare(rows, changed_rows) if row.split()[1] == "worth")
     assert "+1.0400" in line and line.endswith("differs")
     with pytest.raises(PlanningError, match="in common"):
-        results.compare(rows, [one | {"seed": "99"} for one in rows])
+        results.compare(rows, [row | {"seed": "99"} for row in rows])
 
 
-def test_rules_of_an_experiment_reach_every_agent(plan: Policy) -> None:
-    """Precedence for an office beyond its share lifts that office, on the same callers."""
+def test_rules_of_an_experiment_apply_at_every_agent(plan: Policy) -> None:
+    """Precedence for an office beyond its share raises that office's worth, with the same callers."""
     text = (ROOT / "examples/plugins/county.rules").read_text()
-    plain, ruled = make_policy("plan", FLOOD, plan.plan), make_policy("plan+rules", FLOOD, plan.plan, text)
-    day = Scenario("x", 1.3, {"csongrad-megye": 1.5}, states=(("evacuation", "csongrad-megye"),))
-    one, other = (emulate(FLOOD, how, day, 5, 20.0) for how in (plain, ruled))
-    assert one.calls == other.calls and other.broken == ()
-    assert other.by_office["csongrad-megye"] > one.by_office["csongrad-megye"]
-    # Nothing declared, nothing changed.
-    calm = Scenario("x", 1.3, {"csongrad-megye": 1.5})
-    assert emulate(FLOOD, ruled, calm, 5, 8.0).worth == emulate(FLOOD, plain, calm, 5, 8.0).worth
+    without_rules, with_rules = (
+        make_policy("plan", FLOOD, plan.plan),
+        make_policy("plan+rules", FLOOD, plan.plan, text),
+    )
+    evacuation = Scenario("x", 1.3, {"csongrad-megye": 1.5}, states=(("evacuation", "csongrad-megye"),))
+    plain_result, rules_result = (
+        emulate(FLOOD, chosen, evacuation, 5, 20.0) for chosen in (without_rules, with_rules)
+    )
+    assert plain_result.calls == rules_result.calls and rules_result.broken == ()
+    assert rules_result.by_office["csongrad-megye"] > plain_result.by_office["csongrad-megye"]
+    # Without the declared state, the rules change nothing.
+    undeclared = Scenario("x", 1.3, {"csongrad-megye": 1.5})
+    assert (
+        emulate(FLOOD, with_rules, undeclared, 5, 8.0).worth
+        == emulate(FLOOD, without_rules, undeclared, 5, 8.0).worth
+    )
 
 
-def test_names_of_policies_are_all_played(plan: Policy) -> None:
+def test_every_policy_name_can_be_built(plan: Policy) -> None:
     for name in POLICY_NAMES:
         assert make_policy(name, FLOOD, plan.plan).name == name
