--- a/seamlb/plugins/supervisor.py
+++ b/seamlb/plugins/supervisor.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-QUARANTINE_FAULTS = 5  # that many within FAULT_WINDOW_MS lead to quarantine
+QUARANTINE_FAULTS = 5  # this many within FAULT_WINDOW_MS lead to quarantine
 FAULT_WINDOW_MS = 10_000.0
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 5_000.0, 600_000.0  # length of a quarantine or pause, doubled each time
-TRIAL_SAMPLE = 8  # on trial it runs on every eighth call
+TRIAL_SAMPLE = 8  # on trial it runs on one call in this many
 TRIAL_SUCCESSES = 20  # successful calls that end a trial
 RESET_MS = 600_000.0  # time without a fault after which earlier quarantines no longer count
 COST_WINDOW_MS = 5_000.0  # window over which the plug-ins' cost is summed
