--- a/seamlb/rollout/__init__.py
+++ b/seamlb/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rolling change: a fleet moves to another version or other settings in stages, and back if a stage does worse."""
+"""Staged rollout: moves a fleet to another version or configuration in stages and rolls back on a regression."""
--- a/seamlb/rollout/change.py
+++ b/seamlb/rollout/change.py
@@ -1,10 +1,10 @@
-"""The course of a change: what a conductor orders next, and when it stops. Pure; times are seconds given in.
+"""State machine of a rollout: which orders are due, and when it stops. Pure; times are in seconds.
 
-It is led by what keepers say, not by what was ordered: each step looks at the whole fleet and orders what is missing.
-So a conductor that was killed anywhere goes on by taking the next step, and an order given twice is given once.
+It is driven by the reported status of the whole fleet, not by the orders given: each step orders what is missing. So
+a controller that was killed at any point continues with its next step, and repeated orders are harmless.
 
-Only a change's place is kept on disk: phase, stage and step. Evidence is not: after a new start the stage's bake
-begins anew, as no verdict may rest on what nobody can tell any more.
+Only phase, stage and sequence number are persisted. Samples are not: after a restart of the controller the stage's
+bake time starts again, as no verdict may rest on samples that are lost.
 """
 
 from __future__ import annotations
@@ -17,38 +17,38 @@
 import msgspec
 
 from seamlb.rollout.figures import Evidence, Sample
-from seamlb.rollout.judge import worse
+from seamlb.rollout.judge import find_regression
 from seamlb.rollout.plan import Plan
 
 Phase = Literal["forward", "paused", "back", "done", "undone"]
-OVER = ("done", "undone")
-FRESH = 3.0  # seconds within which every agent that is compared must have been heard for a stage to pass
-RETRY = 5.0  # seconds between two orders to an agent that did not come up on its way back
+FINAL_PHASES = ("done", "undone")
+MAX_AGE_S = 3.0  # of the samples that a stage needs to pass, and of the status of an agent that counts as ready
+RETRY_S = 5.0  # between two orders to the same agent
 
 
 class RolloutState(msgspec.Struct, forbid_unknown_fields=True):
-    """Where a change stands: all that is kept of it."""
+    """The persisted state of a rollout."""
 
-    change: str  # its name
+    change: str  # the rollout's name
     plan: Plan
-    seq: int = 1  # counts the times that this was written
+    seq: int = 1  # sequence number, incremented with every modification
     phase: Phase = "forward"
     stage: int = 0
-    reason: str = ""  # why it goes back, or is over
-    after: str = ""  # the change before this one, whose end a keeper may not have heard of
+    reason: str = ""  # why it is rolled back, or has finished
+    after: str = ""  # the previous rollout, whose end a supervisor may have missed
 
 
 @dataclass(slots=True, frozen=True)
 class AgentStatus:
-    """What is known of one agent."""
+    """What is known about one agent."""
 
-    heard: float  # when its keeper last answered
-    running: str = ""  # the revision that serves; empty: none
+    as_of: float  # when the last request that its supervisor answered was sent
+    running: str = ""  # the revision that serves; empty if none does
     ready: bool = False
-    coming: str = ""  # the revision that is being brought up beside it
-    failed: str = ""  # why the last order came to nothing; empty once another was given
-    desired: str = ""  # the last order
-    crashes: int = 0  # since the keeper's start
+    starting: str = ""  # the revision of the process that starts beside it
+    failure: str = ""  # why the last order failed; empty after a new order
+    desired: str = ""  # the revision of the last order
+    crashes: int = 0  # since the supervisor's start
     sample: Sample | None = None
 
 
@@ -61,54 +61,50 @@
 
 
 class RolloutStateMachine:
-    """One change, step by step."""
+    """One rollout, step by step."""
 
-    def __init__(self, place: RolloutState, now: float) -> None:
-        self.place = place
-        self.plan = place.plan
-        self.names = [one.name for one in place.plan.agent]
+    def __init__(self, state: RolloutState, now: float) -> None:
+        self.state = state
+        self.plan = state.plan
+        self.names = [one.name for one in state.plan.agent]
         self.evidence = Evidence()
-        self.said: list[tuple[str, dict[str, object]]] = []  # log lines that are due: event and facts
-        self.began = now  # this stage, or this conductor
-        self.baked: float | None = None  # since when all agents of the stage run the new revision
-        self.ordered: dict[str, tuple[str, float]] = {}
-        self.since: dict[str, float] = {}  # when an agent was first seen to run the new revision
-        self.base: dict[str, int] = {}  # crashes told when the stage began
-        self.waits = ""  # what a stage that could pass waits for
-
-    # -- what follows from the place ----------------------------------------------------------
+        self.pending_events: list[tuple[str, dict[str, object]]] = []  # to be logged: event and fields
+        self.start = now  # of this stage or phase, or of this controller if that is later
+        self.bake_start: float | None = None  # since when all agents of the stage run the new revision
+        self.ordered: dict[str, tuple[str, float]] = {}  # by agent: revision and time
+        self.changed_at: dict[str, float] = {}  # when an agent was first seen running the new revision
+        self.crash_base: dict[str, int] = {}  # by agent, when the stage began
+        self.blocker = ""  # what keeps the stage from passing
 
     @property
-    def target(self) -> list[str]:
+    def targets(self) -> list[str]:
         """The agents that should run the new revision now."""
-        return self.touched if self.place.phase in ("forward", "paused") else []
+        return self.affected if self.state.phase in ("forward", "paused") else []
 
     @property
-    def touched(self) -> list[str]:
-        """All agents that may ever have got an order."""
-        return self.names[: self.plan.sizes()[self.place.stage]]
-
-    def _enter(self, phase: Phase, now: float, reason: str = "") -> None:
-        self.place.phase, self.place.reason = phase, reason or self.place.reason
-        self.place.seq += 1
-        self.began, self.baked = now, None
+    def affected(self) -> list[str]:
+        """All agents that may have received an order."""
+        return self.names[: self.plan.stage_sizes()[self.state.stage]]
+
+    def _enter_phase(self, phase: Phase, now: float, reason: str = "") -> None:
+        self.state.phase, self.state.reason = phase, reason or self.state.reason
+        self.state.seq += 1
+        self.start, self.bake_start = now, None
         self.ordered.clear()
-        self.said.append((f"rollout_{phase}", {"stage": self.place.stage, "reason": reason}))
-
-    # -- the operator -------------------------------------------------------------------------
-
-    def wish(self, what: str, now: float) -> bool:
-        """`pause`, `resume` or `abort`; False if the phase does not allow it. Asked twice it changes nothing more."""
-        phase = self.place.phase
-        if what == "pause" and phase == "forward":
-            self._enter("paused", now)
-        elif what == "resume" and phase == "paused":
-            self._enter("forward", now)
-            self.evidence.begin()
-        elif what == "abort" and phase in ("forward", "paused"):
-            self._enter("back", now, "an operator called it off")
+        self.pending_events.append((f"rollout_{phase}", {"stage": self.state.stage, "reason": reason}))
+
+    def request(self, command: str, now: float) -> bool:
+        """`pause`, `resume` or `abort`; False if the phase does not allow it. Repeating a command has no effect."""
+        phase = self.state.phase
+        if command == "pause" and phase == "forward":
+            self._enter_phase("paused", now)
+        elif command == "resume" and phase == "paused":
+            self._enter_phase("forward", now)
+            self.evidence.start_stage()
+        elif command == "abort" and phase in ("forward", "paused"):
+            self._enter_phase("back", now, "aborted by an operator")
         else:
-            return (what, phase) in (
+            return (command, phase) in (
                 ("pause", "paused"),
                 ("resume", "forward"),
                 ("abort", "back"),
@@ -116,153 +112,155 @@
             )
         return True
 
-    # -- the fleet ----------------------------------------------------------------------------
-
-    def step(self, now: float, views: Mapping[str, AgentStatus]) -> list[Order]:
-        """Look at the whole fleet; what is ordered now."""
-        if self.place.phase in OVER:
+    def step(self, now: float, fleet: Mapping[str, AgentStatus]) -> list[Order]:
+        """Evaluate the status of the whole fleet and return the orders that are due."""
+        if self.state.phase in FINAL_PHASES:
             return []
-        self._hear(now, views)
-        if self.place.phase in ("forward", "paused") and (reason := self._trouble(now, views)):
-            self._enter("back", now, reason)
-        if self.place.phase == "forward" and self._passes(now, views):
-            self._next(now, views)
-        if self.place.phase == "back" and self._undone(views):
-            self._enter("undone", now)
-        return self._orders(now, views) if self.place.phase in ("forward", "back") else []
-
-    def _is(self, views: Mapping[str, AgentStatus], name: str, revision: str) -> bool:
-        """Does it run that revision alone? An agent that nobody heard of is none of which this is known."""
-        view = views.get(name)
-        return view is not None and view.running == revision and not view.coming and view.ready
-
-    def _undone(self, views: Mapping[str, AgentStatus]) -> bool:
-        """Is everything as it was? Each was asked anew since the way back began: an order may have come late."""
+        self._collect_samples(now, fleet)
+        if self.state.phase in ("forward", "paused") and (reason := self._stop_reason(now, fleet)):
+            self._enter_phase("back", now, reason)
+        if self.state.phase == "forward" and self._stage_passed(now, fleet):
+            self._finish_stage(now, fleet)
+        if self.state.phase == "back" and self._rolled_back(fleet):
+            self._enter_phase("undone", now)
+        return self._due_orders(now, fleet) if self.state.phase in ("forward", "back") else []
+
+    def _runs(self, fleet: Mapping[str, AgentStatus], name: str, revision: str) -> bool:
+        """Whether an agent is known to run that revision and no other; False if its status is unknown."""
+        agent = fleet.get(name)
+        return agent is not None and agent.running == revision and not agent.starting and agent.ready
+
+    def _rolled_back(self, fleet: Mapping[str, AgentStatus]) -> bool:
+        """Whether all agents run the old revision, by a poll after the rollback began: an order may arrive late."""
         return all(
-            self._is(views, name, self.plan.old.ident) and views[name].heard >= self.began for name in self.touched
+            self._runs(fleet, name, self.plan.old.ident) and fleet[name].as_of >= self.start for name in self.affected
         )
 
-    def _hear(self, now: float, views: Mapping[str, AgentStatus]) -> None:
+    def _collect_samples(self, now: float, fleet: Mapping[str, AgentStatus]) -> None:
         new = self.plan.new.ident
-        target = self.target
+        target = self.targets
         before = self.evidence.strata[-1].changed
-        done = frozenset(
+        changed = frozenset(
             name
             for name in target
-            if (view := views.get(name)) and (view.running == new or (not view.running and name in before))
-        )  # what crashed keeps its side
-        self.evidence.move(done)
-        self.since = {name: self.since.get(name, now) for name in done}
-        for name, view in views.items():
-            self.base.setdefault(name, view.crashes)
-            if view.sample:
-                revision = new if name in done else self.plan.old.ident
-                self.evidence.hear(name, view.sample, view.crashes, revision, self._settled(name, now))
+            if (agent := fleet.get(name)) and (agent.running == new or (not agent.running and name in before))
+        )  # an agent whose process crashed stays on its side
+        self.evidence.set_changed(changed)
+        self.changed_at = {name: self.changed_at.get(name, now) for name in changed}
+        for name, agent in fleet.items():
+            self.crash_base.setdefault(name, agent.crashes)
+            if agent.sample:
+                revision = new if name in changed else self.plan.old.ident
+                self.evidence.add_sample(name, agent.sample, agent.crashes, revision, self._settled(name, now))
 
     def _settled(self, name: str, now: float) -> bool:
-        """Is an agent judged yet? One that has just gone over learns desks anew, whatever its revision."""
-        return name not in self.since or now - self.since[name] >= self.plan.settle
+        """Whether an agent is compared yet: after a switch of revision it first has to learn its desks again."""
+        return name not in self.changed_at or now - self.changed_at[name] >= self.plan.settle
 
-    def _trouble(self, now: float, views: Mapping[str, AgentStatus]) -> str:
-        """Why the change has to stop; empty if it has not."""
+    def _stop_reason(self, now: float, fleet: Mapping[str, AgentStatus]) -> str:
+        """Why the rollout has to stop; empty if it may go on."""
         new = self.plan.new.ident
-        stage = self.plan.stage[self.place.stage]
-        for name in self.target:
-            view = views.get(name)
-            heard = max(view.heard if view else self.began, self.began)
-            if now - heard > self.plan.silence:
-                return f"{name}: nothing heard for {now - heard:.0f} s"
-            if view is None:
+        stage = self.plan.stage[self.state.stage]
+        for name in self.targets:
+            agent = fleet.get(name)
+            answered = max(agent.as_of if agent else self.start, self.start)
+            if now - answered > self.plan.silence:
+                return f"{name}: no answer for {now - answered:.0f} s"
+            if agent is None:
                 continue
-            if view.failed and view.desired == new and view.heard > self.ordered.get(name, ("", math.inf))[1]:
-                return f"{name}: {view.failed}"
-            if (crashed := view.crashes - self.base[name]) > self.plan.crashes and view.running in (new, ""):
-                return f"{name}: ended by itself {crashed} times in this stage"
-            sampled = max(view.sample.at if view.sample else self.began, self.began, self.baked or self.began)
-            if self.baked is not None and now - sampled > self.plan.silence:
-                return f"{name}: no figures for {now - sampled:.0f} s"
-        if found := worse(self.evidence, self.plan.bearable, self.plan.false_stop / len(self.plan.stage)):
+            if agent.failure and agent.desired == new and agent.as_of > self.ordered.get(name, ("", math.inf))[1]:
+                return f"{name}: {agent.failure}"
+            if (crashes := agent.crashes - self.crash_base[name]) > self.plan.crashes and agent.running in (new, ""):
+                return f"{name}: crashed {crashes} times in this stage"
+            last = max(agent.sample.as_of if agent.sample else self.start, self.start, self.bake_start or self.start)
+            if self.bake_start is not None and now - last > self.plan.silence:
+                return f"{name}: no metrics for {now - last:.0f} s"
+        if found := find_regression(self.evidence, self.plan.bearable, self.plan.false_stop / len(self.plan.stage)):
             return f"worse: {found}"
-        if self.place.phase == "forward" and now - self.began > stage.most:
-            return f"stage {self.place.stage} not over after {stage.most:g} s: {self.waits or 'agents not changed'}"
+        if self.state.phase == "forward" and now - self.start > stage.most:
+            return f"stage {self.state.stage} not over after {stage.most:g} s: {self.blocker or 'agents not changed'}"
         return ""
 
-    def _passes(self, now: float, views: Mapping[str, AgentStatus]) -> bool:
-        """Is this stage over, and well?"""
-        target = self.target
-        if not all(self._is(views, name, self.plan.new.ident) for name in target):
-            self.baked, self.waits = None, "agents not changed"
+    def _stage_passed(self, now: float, fleet: Mapping[str, AgentStatus]) -> bool:
+        """Whether this stage is over and may be followed by the next."""
+        target = self.targets
+        if not all(self._runs(fleet, name, self.plan.new.ident) for name in target):
+            self.bake_start, self.blocker = None, "agents not changed"
             return False
-        if self.baked is None:
+        if self.bake_start is None:
             if not all(self._settled(name, now) for name in target):
-                self.waits = "agents settle"
+                self.blocker = "agents settling"
                 return False
-            self.baked = now
-        stage = self.plan.stage[self.place.stage]
-        # No verdict from silence: who is compared must have spoken lately, the changed ones all, of the others one.
-        deaf = [name for name in target if not self._fresh(now, views[name])]
+            self.bake_start = now
+        stage = self.plan.stage[self.state.stage]
+        # No verdict without data: every changed agent and at least one of the others must have a recent sample.
+        stale = [name for name in target if not self._recent(now, fleet[name])]
         rest = [name for name in self.names if name not in target]
-        few = {
-            kind: (got, least) for kind, least in stage.least.items() if (got := self.evidence.ended(kind)[0]) < least
+        missing = {
+            kind: (n, least) for kind, least in stage.least.items() if (n := self.evidence.completed(kind)[0]) < least
         }
-        if deaf:
-            self.waits = f"no fresh figures from {', '.join(deaf)}"
-        elif rest and not any(name in views and self._fresh(now, views[name]) for name in rest):
-            self.waits = "no fresh figures from any agent to compare with"
-        elif few:
-            self.waits = ", ".join(f"{kind}: {got} of {least} requests" for kind, (got, least) in few.items())
-        elif now - self.baked < stage.bake:
-            self.waits = "bakes"
+        if stale:
+            self.blocker = f"no recent metrics from {', '.join(stale)}"
+        elif rest and not any(name in fleet and self._recent(now, fleet[name]) for name in rest):
+            self.blocker = "no recent metrics from any unchanged agent"
+        elif missing:
+            self.blocker = ", ".join(f"{kind}: {n} of {least} requests" for kind, (n, least) in missing.items())
+        elif now - self.bake_start < stage.bake:
+            self.blocker = "bake time"
         else:
-            self.waits = ""
-        return not self.waits
+            self.blocker = ""
+        return not self.blocker
 
     @staticmethod
-    def _fresh(now: float, view: AgentStatus) -> bool:
-        return view.sample is not None and now - view.sample.at <= FRESH and view.sample.revision == view.running
+    def _recent(now: float, agent: AgentStatus) -> bool:
+        return (
+            agent.sample is not None
+            and now - agent.sample.as_of <= MAX_AGE_S
+            and agent.sample.revision == agent.running
+        )
 
-    def _next(self, now: float, views: Mapping[str, AgentStatus]) -> None:
-        self.said.append(
+    def _finish_stage(self, now: float, fleet: Mapping[str, AgentStatus]) -> None:
+        self.pending_events.append(
             (
                 "rollout_stage",
-                {"stage": self.place.stage, "agents": len(self.target), "seconds": round(now - self.began, 1)},
+                {"stage": self.state.stage, "agents": len(self.targets), "seconds": round(now - self.start, 1)},
             )
         )
-        if self.place.stage + 1 == len(self.plan.stage):
-            return self._enter("done", now, "every stage held")
-        self.place.stage += 1
-        self.place.seq += 1
-        self.began, self.baked = now, None
-        self.base = {name: view.crashes for name, view in views.items()}
-        self.evidence.begin()
-
-    def _orders(self, now: float, views: Mapping[str, AgentStatus]) -> list[Order]:
-        """What is missing, within what may be in motion at a time."""
-        back = self.place.phase == "back"
+        if self.state.stage + 1 == len(self.plan.stage):
+            return self._enter_phase("done", now, "every stage passed")
+        self.state.stage += 1
+        self.state.seq += 1
+        self.start, self.bake_start = now, None
+        self.crash_base = {name: agent.crashes for name, agent in fleet.items()}
+        self.evidence.start_stage()
+
+    def _due_orders(self, now: float, fleet: Mapping[str, AgentStatus]) -> list[Order]:
+        """The missing orders, within the limit of agents that may be in transition at a time."""
+        back = self.state.phase == "back"
         revision = self.plan.old.ident if back else self.plan.new.ident
-        moving = {name for name, view in views.items() if view.coming}
-        # An order whose effect nobody has seen yet counts as in motion: the answer may be on its way.
+        moving = {name for name, agent in fleet.items() if agent.starting}
+        # An order whose effect is not visible yet counts as in transition: its answer may be on the way.
         moving |= {
             name
             for name, (wanted, at) in self.ordered.items()
-            if now - at < RETRY and not (name in views and views[name].desired == wanted and views[name].heard > at)
+            if now - at < RETRY_S and not (name in fleet and fleet[name].desired == wanted and fleet[name].as_of > at)
         }
         down = {
             name
             for name in self.names
-            if name not in views or not views[name].ready or now - views[name].heard > FRESH
+            if name not in fleet or not fleet[name].ready or now - fleet[name].as_of > MAX_AGE_S
         } - moving
         orders = []
-        for name in self.touched if back else self.target:
-            view = views.get(name)
-            if view is None or (name in moving and not (back and view.coming == self.plan.new.ident)):
+        for name in self.affected if back else self.targets:
+            agent = fleet.get(name)
+            if agent is None or (name in moving and not (back and agent.starting == self.plan.new.ident)):
                 continue
-            if self._is(views, name, revision) or (view.running == revision and not view.coming and back):
+            if self._runs(fleet, name, revision) or (agent.running == revision and not agent.starting and back):
                 continue
-            if name in self.ordered and now - self.ordered[name][1] < RETRY:
+            if name in self.ordered and now - self.ordered[name][1] < RETRY_S:
                 continue
             if not back and len(down - {name}) > self.plan.unavailable:
-                break  # on the way back this does not hold: what is down may be down because of the change
+                break  # not checked in a rollback: the rollout itself may be why agents are down
             if len(moving | {name}) > self.plan.surge:
                 break
             moving.add(name)
--- a/seamlb/rollout/command.py
+++ b/seamlb/rollout/command.py
@@ -1,4 +1,4 @@
-"""`seamlb rollout`: plan, start and steer a change in stages; keep an agent."""
+"""`seamlb rollout`: validate, start and control a staged rollout; run an agent's supervisor."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 import click
 
-from seamlb.rollout.change import OVER, RolloutState
-from seamlb.rollout.conductor import WISHES, ChangeRefusedError, Conductor, Folder
-from seamlb.rollout.keeper import Keeper, load_keeper
+from seamlb.rollout.change import FINAL_PHASES, RolloutState
+from seamlb.rollout.conductor import COMMANDS, ChangeRefusedError, RolloutController, StateFolder
+from seamlb.rollout.keeper import Supervisor, load_supervisor
 from seamlb.rollout.plan import Plan, PlanError, load_plan
 from seamlb.store import record
 
@@ -20,153 +20,153 @@
     "--state",
     type=click.Path(path_type=Path, file_okay=False),
     required=True,
-    help="The folder where the change's state is kept.",
+    help="The folder with the rollout's persisted state.",
 )
 PLAN = click.argument("plan", type=click.Path(path_type=Path, dir_okay=False))
-UNDONE = 3  # exit code of a change that went back
+ROLLED_BACK = 3  # exit code of a rollout that was rolled back
 
 
 @click.group()
 def rollout() -> None:
-    """Change a fleet in stages. Exit code 0: done, 1: refused, 2: bad use, 3: it went back."""
+    """Roll out a revision in stages. Exit code 0: done, 1: refused, 2: invalid usage or file, 3: rolled back."""
 
 
-def _end(text: str, code: int) -> NoReturn:
+def _exit(text: str, code: int) -> NoReturn:
     click.echo(f"seamlb rollout: {text}", err=True)
     sys.exit(code)
 
 
-def _plan(path: Path) -> Plan:
+def _load_plan(path: Path) -> Plan:
     try:
         return load_plan(path)
     except PlanError as error:
-        _end(str(error), 2)
+        _exit(str(error), 2)
 
 
-def _place(folder: Folder) -> RolloutState:
+def _load_state(folder: StateFolder) -> RolloutState:
     try:
-        place = folder.place()
+        state = folder.load()
     except record.RecordError as error:
-        _end(f'{error}; see docs/operators/rollout.md, "When the file can\'t be trusted"', 2)
-    if place is None:
-        _end(f"{folder.path}: no change", 2)
-    return place
+        _exit(f'{error}; see docs/operators/rollout.md, "When the file can\'t be trusted"', 2)
+    if state is None:
+        _exit(f"{folder.path}: contains no rollout", 2)
+    return state
 
 
-def _conduct(folder: Folder, place: RolloutState) -> NoReturn:
-    async def go() -> RolloutState:
-        return await Conductor(folder, place).run()
+def _control(folder: StateFolder, state: RolloutState) -> NoReturn:
+    async def run() -> RolloutState:
+        return await RolloutController(folder, state).run()
 
     try:
-        over = asyncio.run(go())
+        final = asyncio.run(run())
     except ChangeRefusedError as error:
-        _end(str(error), 1)
+        _exit(str(error), 1)
     except KeyboardInterrupt:
-        _end("stopped; the change stands where it is, `seamlb rollout resume` goes on with it", 1)
-    click.echo(f"{over.change}: {over.phase}: {over.reason}")
-    sys.exit(0 if over.phase == "done" else UNDONE)
+        _exit("stopped; the rollout keeps its state, `seamlb rollout resume` continues it", 1)
+    click.echo(f"{final.change}: {final.phase}: {final.reason}")
+    sys.exit(0 if final.phase == "done" else ROLLED_BACK)
 
 
 @rollout.command("plan")
 @PLAN
 def show(plan: Path) -> None:
-    """Check PLAN and say what it would do."""
-    told = _plan(plan)
-    click.echo(f"{told.old.ident} -> {told.new.ident}, {len(told.agent)} agents, {told.surge} at a time")
-    for stage, size in zip(told.stage, told.sizes(), strict=True):
-        least = ", ".join(f"{count} {kind}" for kind, count in stage.least.items()) or "no least number of requests"
-        click.echo(f"  {size} agents, bakes {stage.bake:g} s, over within {stage.most:g} s; {least}")
+    """Validate PLAN and print its stages."""
+    loaded = _load_plan(plan)
+    click.echo(f"{loaded.old.ident} -> {loaded.new.ident}, {len(loaded.agent)} agents, {loaded.surge} at a time")
+    for stage, size in zip(loaded.stage, loaded.stage_sizes(), strict=True):
+        least = ", ".join(f"{count} {kind}" for kind, count in stage.least.items()) or "no minimum of requests"
+        click.echo(f"  {size} agents, bake time {stage.bake:g} s, time limit {stage.most:g} s; {least}")
 
 
 @rollout.command()
 @PLAN
 @STATE
-@click.option("--after", default="", metavar="CHANGE", help="A change that is given up, whose state is lost.")
+@click.option("--after", default="", metavar="CHANGE", help="An abandoned rollout whose state is lost.")
 def start(plan: Path, state: Path, after: str) -> None:
-    """Begin PLAN and conduct it until it is over."""
-    told, folder = _plan(plan), Folder(state)
+    """Start PLAN and control it until it has finished."""
+    loaded, folder = _load_plan(plan), StateFolder(state)
     if not folder.lock():
-        _end(f"{state}: another conductor is at work here", 1)
+        _exit(f"{state}: another controller is active in this folder", 1)
     try:
-        found = folder.place()
+        found = folder.load()
     except record.RecordError as error:
-        _end(f"{error}; a change may be under way: see docs/operators/rollout.md", 2)
-    if found and found.phase not in OVER:
-        _end(f"{state}: change {found.change} is not over; resume or abort it", 1)
-    folder.wished()  # one that was left to an earlier change
-    before = after or (found.change if found else "")
-    _conduct(folder, RolloutState(f"{told.new.name}-{uuid.uuid4().hex[:8]}", told, after=before))
+        _exit(f"{error}; a rollout may be in progress: see docs/operators/rollout.md", 2)
+    if found and found.phase not in FINAL_PHASES:
+        _exit(f"{state}: rollout {found.change} has not finished; resume or abort it", 1)
+    folder.take_command()  # drops a command for an earlier rollout
+    previous = after or (found.change if found else "")
+    _control(folder, RolloutState(f"{loaded.new.name}-{uuid.uuid4().hex[:8]}", loaded, after=previous))
 
 
-def _steer(what: str, text: str) -> None:
-    @rollout.command(what, help=text)
+def _add_command(name: str, text: str) -> None:
+    @rollout.command(name, help=text)
     @STATE
     def call(state: Path) -> None:
-        folder = Folder(state)
-        place = _place(folder)
-        if place.phase in OVER:
-            _end(f"{state}: change {place.change} is over: {place.phase}", 1)
-        folder.wish(what)
+        folder = StateFolder(state)
+        current = _load_state(folder)
+        if current.phase in FINAL_PHASES:
+            _exit(f"{state}: rollout {current.change} has finished: {current.phase}", 1)
+        folder.submit(name)
         if not folder.lock():
-            return click.echo(f"{what}: told to the conductor at work")
-        if what == "pause":
-            place.phase, place.reason, place.seq = "paused", "", place.seq + 1
-            folder.wished()
-            folder.keep(place)
-            return click.echo("paused; no conductor is at work")
-        _conduct(folder, place)  # it finds the wish
+            return click.echo(f"{name}: sent to the active controller")
+        if name == "pause":
+            current.phase, current.reason, current.seq = "paused", "", current.seq + 1
+            folder.take_command()
+            folder.save(current)
+            return click.echo("paused; no controller is active")
+        _control(folder, current)  # it takes the submitted command
 
 
-for _what, _text in zip(
-    WISHES,
+for _name, _text in zip(
+    COMMANDS,
     (
         "Change no further agents.",
-        "Go on, with a conductor that works already or as one.",
-        "Bring every agent back to the old revision.",
+        "Continue with the active controller, or as the controller if there is none.",
+        "Roll every agent back to the old revision.",
     ),
     strict=True,
 ):
-    _steer(_what, _text)
+    _add_command(_name, _text)
 
 
 @rollout.command()
 @STATE
 def status(state: Path) -> None:
-    """Where the change stands, by its file and by what keepers say."""
-    folder = Folder(state)
-    place = _place(folder)
+    """Print the rollout's state from its file, and the status of every agent from its supervisor."""
+    folder = StateFolder(state)
+    current = _load_state(folder)
 
-    async def ask() -> Conductor:
-        conductor = Conductor(folder, place)
-        await conductor.look()
-        return conductor
+    async def poll() -> RolloutController:
+        controller = RolloutController(folder, current)
+        await controller.poll()
+        return controller
 
-    seen = asyncio.run(ask())
+    polled = asyncio.run(poll())
     click.echo(
-        f"{place.change}: {place.phase}, stage {place.stage} of {len(place.plan.stage)}"
-        + (f": {place.reason}" if place.reason else "")
+        f"{current.change}: {current.phase}, stage {current.stage} of {len(current.plan.stage)}"
+        + (f": {current.reason}" if current.reason else "")
     )
-    for name in seen.keepers:
-        view = seen.views.get(name)
-        if view is None:
-            click.echo(f"  {name}: no answer")
+    for name in polled.supervisors:
+        agent = polled.fleet.get(name)
+        if agent is None:
+            click.echo(f"  {name}: no response")
             continue
-        facts = [view.running or "not running", "ready" if view.ready else "not ready"]
-        facts += [f"bringing up {view.coming}"] if view.coming else []
-        facts += [f"failed: {view.failed}"] if view.failed else []
-        facts += [f"{view.crashes} crashes"] if view.crashes else []
+        facts = [agent.running or "not running", "ready" if agent.ready else "not ready"]
+        facts += [f"starting {agent.starting}"] if agent.starting else []
+        facts += [f"failed: {agent.failure}"] if agent.failure else []
+        facts += [f"{agent.crashes} crashes"] if agent.crashes else []
         click.echo(f"  {name}: {', '.join(facts)}")
 
 
 @rollout.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
 def keep(file: Path) -> None:
-    """Keep one agent as FILE says, until SIGTERM."""
+    """Supervise one agent as configured in FILE, until SIGTERM."""
     try:
-        told = load_keeper(file)
+        config = load_supervisor(file)
     except PlanError as error:
-        _end(str(error), 2)
+        _exit(str(error), 2)
     try:
-        asyncio.run(Keeper(told).run())
+        asyncio.run(Supervisor(config).run())
     except OSError as error:
-        _end(f"{file}: {error}", 1)
+        _exit(f"{file}: {error}", 1)
--- a/seamlb/rollout/conductor.py
+++ b/seamlb/rollout/conductor.py
@@ -1,8 +1,8 @@
-"""A conductor: asks every keeper how its agent is, takes the course's next step, puts it down, gives the orders.
+"""Rollout controller: polls every supervisor, takes the state machine's next step, persists it and sends the orders.
 
-What is decided is in `change.py`. The order here is a rule of its own: a step is on the disk before anything of it
-is ordered, so whoever goes on after a kill knows at least as much as the fleet. Only the way back goes on without a
-disk.
+The decisions are in `change.py`. The order of actions here matters too: a step is on disk before any of its orders is
+sent, so a controller that continues after a kill knows at least as much as the fleet. Only a rollback continues
+without a working disk.
 """
 
 from __future__ import annotations
@@ -19,97 +19,97 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError, HTTPRequest
 
 from seamlb import log
-from seamlb.rollout.change import OVER, AgentStatus, Order, RolloutState, RolloutStateMachine
+from seamlb.rollout.change import FINAL_PHASES, AgentStatus, Order, RolloutState, RolloutStateMachine
 from seamlb.rollout.figures import Sample
 from seamlb.rollout.plan import Revision
 from seamlb.store import record
 
-STEP = 0.5  # seconds between two steps
-ASK_WITHIN = 1.0  # seconds for a keeper's answer
-TELL = 20.0  # seconds in which every keeper is told that the change is over
-CLIENTS = 256  # keepers asked at a time
-WISHES = ("pause", "resume", "abort")
+STEP_INTERVAL_S = 0.5
+REQUEST_TIMEOUT_S = 1.0  # for a supervisor's response
+END_TIMEOUT_S = 20.0  # for notifying every supervisor of the rollout's end
+MAX_CLIENTS = 256  # concurrent requests to supervisors
+COMMANDS = ("pause", "resume", "abort")
 
 
 class ChangeRefusedError(Exception):
-    """This conductor may not act; its text is one line for the operator."""
+    """This controller may not act; its text is one line for the operator."""
 
 
-def sample_of(told: dict[str, Any], running: str, at: float) -> Sample | None:
-    """A keeper's word on its agent's figures; None if they are not what they should be."""
+def parse_sample(body: dict[str, Any], running: str, as_of: float) -> Sample | None:
+    """An agent's metrics as its supervisor relays them; None if they are malformed."""
     try:
         return Sample(
-            str(told["process"]),
+            str(body["process"]),
             running,
-            at,
-            {(kind, how): int(count) for kind, ends in told["counts"].items() for how, count in ends.items()},
-            {kind: {int(ms): int(count) for ms, count in times.items()} for kind, times in told["answer_ms"].items()},
-            {int(ms): int(count) for ms, count in told["lag_ms"].items()},
-            int(told["faults"]),
+            as_of,
+            {(kind, how): int(count) for kind, ends in body["counts"].items() for how, count in ends.items()},
+            {kind: {int(ms): int(count) for ms, count in times.items()} for kind, times in body["answer_ms"].items()},
+            {int(ms): int(count) for ms, count in body["lag_ms"].items()},
+            int(body["faults"]),
         )
     except (KeyError, TypeError, ValueError, AttributeError):
         return None
 
 
-def view_of(told: dict[str, Any], at: float) -> AgentStatus:
-    """A keeper's answer to a question that was sent at a time; ValueError, KeyError or TypeError if it is none."""
-    figures = told.get("figures")
-    sample = sample_of(figures, told["running"], at - float(told["figures_age"])) if figures else None
+def parse_status(body: dict[str, Any], as_of: float) -> AgentStatus:
+    """A supervisor's response to a request sent at `as_of`; ValueError, KeyError or TypeError if it is malformed."""
+    metrics = body.get("figures")
+    sample = parse_sample(metrics, body["running"], as_of - float(body["figures_age"])) if metrics else None
     return AgentStatus(
-        at,
-        told["running"],
-        bool(told["ready"]),
-        told["coming"],
-        told["failed"],
-        told["wanted"],
-        int(told["crashes"]),
+        as_of,
+        body["running"],
+        bool(body["ready"]),
+        body["coming"],
+        body["failed"],
+        body["wanted"],
+        int(body["crashes"]),
         sample,
     )
 
 
-class Folder:
-    """A change's files: its place, an operator's wish, and the lock of whoever conducts it."""
+class StateFolder:
+    """A rollout's files: its state, an operator's pending command, and the lock of the active controller."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.locked: int | None = None
+        self.lock_descriptor: int | None = None
 
     def lock(self) -> bool:
-        """Be the only one here until `free` or the process's end; False if another is."""
+        """Take the lock until `unlock` or the process's end; False if another process has it."""
         self.path.mkdir(parents=True, exist_ok=True)
-        self.locked = record.lock(self.path)
-        return self.locked is not None
+        self.lock_descriptor = record.lock(self.path)
+        return self.lock_descriptor is not None
 
-    def free(self) -> None:
-        """Let others conduct."""
-        if self.locked is not None:
-            os.close(self.locked)
-            self.locked = None
+    def unlock(self) -> None:
+        """Release the lock."""
+        if self.lock_descriptor is not None:
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = None
 
-    def place(self) -> RolloutState | None:
-        """Where the change stands; None if there is none, RecordError if its file can't be trusted."""
+    def load(self) -> RolloutState | None:
+        """Read the rollout's state; None if there is none, RecordError if its file is corrupt."""
         body = record.read(self.path / "change")
         if body is None:
             return None
         try:
-            place = msgspec.json.decode(body, type=RolloutState)
+            state = msgspec.json.decode(body, type=RolloutState)
         except msgspec.DecodeError as error:
             raise record.RecordError(f"{self.path / 'change'}: {error}") from None
-        for one in (place.plan.old, place.plan.new):
-            if not one.true:
-                raise record.RecordError(f"{self.path / 'change'}: {one.ident} is not what its digest says")
-        return place
+        for one in (state.plan.old, state.plan.new):
+            if not one.digest_matches:
+                raise record.RecordError(f"{self.path / 'change'}: revision {one.ident} doesn't match its digest")
+        return state
 
-    def keep(self, place: RolloutState) -> None:
-        """Put down where it stands; OSError."""
-        record.write(self.path / "change", msgspec.json.encode(place))
+    def save(self, state: RolloutState) -> None:
+        """Persist the rollout's state; OSError if the disk fails."""
+        record.write(self.path / "change", msgspec.json.encode(state))
 
-    def wish(self, what: str) -> None:
-        """Leave a wish to whoever conducts; OSError."""
-        record.write(self.path / "wish", what.encode())
+    def submit(self, command: str) -> None:
+        """Leave a command for the active controller; OSError if the disk fails."""
+        record.write(self.path / "wish", command.encode())
 
-    def wished(self) -> str:
-        """Take the wish; empty if there is none."""
+    def take_command(self) -> str:
+        """Remove and return the pending command; empty if there is none."""
         path = self.path / "wish"
         try:
             body = record.read(path)
@@ -119,54 +119,54 @@
         if body is not None:
             with contextlib.suppress(OSError):
                 path.unlink()
-        what = (body or b"").decode("ascii", "replace")
-        return what if what in WISHES else ""
+        command = (body or b"").decode("ascii", "replace")
+        return command if command in COMMANDS else ""
 
 
-class Conductor:
-    """Conducts one change until it is over."""
+class RolloutController:
+    """Runs one rollout until it has finished."""
 
-    def __init__(self, folder: Folder, place: RolloutState) -> None:
+    def __init__(self, folder: StateFolder, state: RolloutState) -> None:
         self.folder = folder
-        self.place = place
-        # Whoever has the folder's lock goes on with the lease of the one before; a copy elsewhere has another name.
+        self.state = state
+        # The next process that locks the folder takes over the lease; a copy of the folder has another name.
         self.holder = f"{os.uname().nodename}:{folder.path.resolve()}"
-        self.keepers = {one.name: one.keeper for one in place.plan.agent}
-        self.revisions: dict[str, Revision] = {one.ident: one for one in (place.plan.old, place.plan.new)}
-        self.client = AsyncHTTPClient(force_instance=True, max_clients=CLIENTS)
-        self.views: dict[str, AgentStatus] = {}
+        self.supervisors = {one.name: one.keeper for one in state.plan.agent}
+        self.revisions: dict[str, Revision] = {one.ident: one for one in (state.plan.old, state.plan.new)}
+        self.client = AsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
+        self.fleet: dict[str, AgentStatus] = {}
         self.refusals: dict[str, str] = {}
-        self.kept = 0  # the `seq` that is on the disk
-        self.disk = ""
+        self.saved_seq = 0  # sequence number of the state on disk
+        self.disk_error = ""
 
-    async def _ask(self, agent: str, path: str, body: bytes | None = None) -> tuple[int, dict[str, Any]]:
-        """A call to a keeper: its status (0: none) and what it told."""
+    async def _request(self, agent: str, path: str, body: bytes | None = None) -> tuple[int, dict[str, Any]]:
+        """Send a request to a supervisor and return the response's status and body; status 0 without a response."""
         try:
             method = "GET" if body is None else "POST"
             request = HTTPRequest(
-                f"http://{self.keepers[agent]}{path}",
+                f"http://{self.supervisors[agent]}{path}",
                 method,
                 body=body,
-                connect_timeout=ASK_WITHIN,
-                request_timeout=ASK_WITHIN,
+                connect_timeout=REQUEST_TIMEOUT_S,
+                request_timeout=REQUEST_TIMEOUT_S,
             )
-            answer = await self.client.fetch(request, raise_error=False)
-            told = orjson.loads(answer.body) if answer.body else {}
-            return (answer.code if answer.code < 599 else 0), told if isinstance(told, dict) else {}
+            response = await self.client.fetch(request, raise_error=False)
+            reply = orjson.loads(response.body) if response.body else {}
+            return (response.code if response.code < 599 else 0), reply if isinstance(reply, dict) else {}
         except (HTTPError, OSError, orjson.JSONDecodeError):
             return 0, {}
 
-    def _call(self, **more: Any) -> bytes:
-        place = self.place
+    def _body(self, **more: Any) -> bytes:
+        state = self.state
         return orjson.dumps(
-            {"holder": self.holder, "change": place.change, "seq": place.seq, "after": place.after} | more
+            {"holder": self.holder, "change": state.change, "seq": state.seq, "after": state.after} | more
         )
 
     async def _lease(self, agent: str) -> bool:
-        """Take or renew; a refusal is kept and said once."""
-        status, told = await self._ask(agent, "/keeper/lease", self._call(over=self.place.phase in OVER))
+        """Acquire or renew an agent's lease; a refusal is remembered and logged once."""
+        status, reply = await self._request(agent, "/keeper/lease", self._body(over=self.state.phase in FINAL_PHASES))
         if status == 409:
-            error = str(told.get("error"))
+            error = str(reply.get("error"))
             if agent not in self.refusals:
                 log.event("rollout_refused", agent=agent, error=error)
             self.refusals[agent] = error
@@ -174,95 +174,95 @@
             self.refusals.pop(agent, None)
         return status == 200
 
-    async def _look(self, agent: str) -> None:
-        at = asyncio.get_running_loop().time()
-        status, told = await self._ask(agent, "/keeper/state")
+    async def _poll_agent(self, agent: str) -> None:
+        as_of = asyncio.get_running_loop().time()
+        status, reply = await self._request(agent, "/keeper/state")
         if status != 200:
             return
         try:
-            self.views[agent] = view_of(told, at)
+            self.fleet[agent] = parse_status(reply, as_of)
         except (KeyError, TypeError, ValueError) as error:
             log.event("malformed", kind="keeper", peer=agent, error=repr(error))
 
-    async def _order(self, order: Order) -> None:
+    async def _send_order(self, order: Order) -> None:
         revision = msgspec.to_builtins(self.revisions[order.revision])
-        status, told = await self._ask(order.agent, "/keeper/order", self._call(revision=revision))
+        status, reply = await self._request(order.agent, "/keeper/order", self._body(revision=revision))
         log.event(
             "rollout_order",
             agent=order.agent,
             revision=order.revision,
             status=status,
-            **({} if status == 200 else {"error": told.get("error", "no answer")}),
+            **({} if status == 200 else {"error": reply.get("error", "no response")}),
         )
 
-    async def _all(self, work: Callable[[str], Any]) -> list[Any]:
-        return list(await asyncio.gather(*(work(agent) for agent in self.keepers)))
+    async def _for_all(self, work: Callable[[str], Any]) -> list[Any]:
+        return list(await asyncio.gather(*(work(agent) for agent in self.supervisors)))
 
-    async def look(self) -> None:
-        """Ask every keeper how its agent is."""
-        await self._all(self._look)
+    async def poll(self) -> None:
+        """Request the status of every agent from its supervisor."""
+        await self._for_all(self._poll_agent)
 
     async def begin(self) -> None:
-        """Get the word of more than half of the fleet, and of nobody a no; ChangeRefusedError otherwise."""
-        held = sum(await self._all(self._lease))
+        """Acquire leases from more than half of the fleet; ChangeRefusedError without them or on any refusal."""
+        held = sum(await self._for_all(self._lease))
         if self.refusals:
             agent, error = min(self.refusals.items())
             raise ChangeRefusedError(f"{agent}: {error}")
-        if 2 * held <= len(self.keepers):
-            raise ChangeRefusedError(f"only {held} of {len(self.keepers)} keepers answer")
-        await self.look()
-        for agent, view in sorted(self.views.items()):
-            if view.running and view.running not in self.revisions:
-                raise ChangeRefusedError(f"{agent}: runs {view.running}, which is neither old nor new")
+        if 2 * held <= len(self.supervisors):
+            raise ChangeRefusedError(f"only {held} of {len(self.supervisors)} supervisors respond")
+        await self.poll()
+        for agent, status in sorted(self.fleet.items()):
+            if status.running and status.running not in self.revisions:
+                raise ChangeRefusedError(f"{agent}: runs {status.running}, which is neither old nor new")
 
     async def run(self) -> RolloutState:
-        """Conduct until the change is over; ChangeRefusedError once another one does, or more is known than here."""
+        """Run until the rollout has finished; ChangeRefusedError if half of the agents or more refuse the lease."""
         loop = asyncio.get_running_loop()
         await self.begin()
-        course = RolloutStateMachine(self.place, loop.time())
+        machine = RolloutStateMachine(self.state, loop.time())
         log.event(
             "rollout",
-            change=self.place.change,
-            phase=self.place.phase,
-            stage=self.place.stage,
-            old=self.place.plan.old.ident,
-            new=self.place.plan.new.ident,
-            agents=len(self.keepers),
+            change=self.state.change,
+            phase=self.state.phase,
+            stage=self.state.stage,
+            old=self.state.plan.old.ident,
+            new=self.state.plan.new.ident,
+            agents=len(self.supervisors),
         )
         while True:
-            if (wish := self.folder.wished()) and not course.wish(wish, loop.time()):
-                log.event("rollout_wish_refused", wish=wish, phase=self.place.phase)
-            orders = course.step(loop.time(), self.views)
-            for name, facts in course.said:
-                log.event(name, **facts)
-            course.said.clear()
-            # Put down before it is ordered, and told to the keepers before that too.
-            if not self._keep() and self.place.phase != "back":
+            if (command := self.folder.take_command()) and not machine.request(command, loop.time()):
+                log.event("rollout_wish_refused", wish=command, phase=self.state.phase)
+            orders = machine.step(loop.time(), self.fleet)
+            for name, fields in machine.pending_events:
+                log.event(name, **fields)
+            machine.pending_events.clear()
+            # The state is saved, and sent to the supervisors with the leases, before any order is sent.
+            if not self._save() and self.state.phase != "back":
                 orders = []
-            held = await self._all(self._lease)
-            if 2 * len(self.refusals) >= len(self.keepers):
-                raise ChangeRefusedError(f"orders are refused: {min(self.refusals.values())}")
-            if self.place.phase in OVER and not self.disk:
+            held = await self._for_all(self._lease)
+            if 2 * len(self.refusals) >= len(self.supervisors):
+                raise ChangeRefusedError(f"leases are refused: {min(self.refusals.values())}")
+            if self.state.phase in FINAL_PHASES and not self.disk_error:
                 if all(held):
-                    return self.place
-                if loop.time() - course.began > TELL:
-                    untold = [agent for agent, one in zip(self.keepers, held, strict=True) if not one]
-                    log.event("rollout_untold", agents=untold)  # the next change names this one to them
-                    return self.place
-            await asyncio.gather(*(self._order(one) for one in orders))
-            await asyncio.sleep(STEP)
-            await self.look()
-
-    def _keep(self) -> bool:
-        """Is the place on the disk? A disk that fails is said once and tried again with the next step."""
-        if self.kept == self.place.seq:
+                    return self.state
+                if loop.time() - machine.start > END_TIMEOUT_S:
+                    missed = [agent for agent, one in zip(self.supervisors, held, strict=True) if not one]
+                    log.event("rollout_untold", agents=missed)  # the next rollout names this one to them as finished
+                    return self.state
+            await asyncio.gather(*(self._send_order(one) for one in orders))
+            await asyncio.sleep(STEP_INTERVAL_S)
+            await self.poll()
+
+    def _save(self) -> bool:
+        """Save the state if it has changed; False if the disk fails, which is logged once and retried every step."""
+        if self.saved_seq == self.state.seq:
             return True
         try:
-            self.folder.keep(self.place)
-            self.kept = self.place.seq
-            self.disk = ""
+            self.folder.save(self.state)
+            self.saved_seq = self.state.seq
+            self.disk_error = ""
         except OSError as error:
-            if not self.disk:
+            if not self.disk_error:
                 log.event("record_failed", file=str(self.folder.path / "change"), error=str(error))
-            self.disk = str(error)
-        return not self.disk
+            self.disk_error = str(error)
+        return not self.disk_error
--- a/seamlb/rollout/fence.py
+++ b/seamlb/rollout/fence.py
@@ -1,41 +1,45 @@
-"""Whose orders an agent takes: one conductor's at a time, never those of one that knows less than was told already.
+"""Leases and fencing of rollout controllers: an agent takes orders from one controller at a time, never a stale one.
 
-Pure, one at each agent. Nothing is agreed on between agents: a conductor needs the word of more than half of them to
-begin, so two can't both have it, and each agent turns down what does not hold its own lease.
+Pure; one instance per agent. There is no agreement protocol between agents: a controller needs leases from more than
+half of them to begin, so two can't both have them, and each agent rejects orders of a controller without its lease.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LEASE = 10.0  # seconds that a conductor's word is good for without being renewed
+LEASE_S = 10.0  # how long a lease is valid without being renewed
 
 
 @dataclass(slots=True)
 class Fence:
-    """What one agent remembers of conductors; `change`, `seq` and `over` outlive its keeper."""
+    """One agent's lease and the newest rollout state it has seen.
+
+    `change`, `seq` and `over` are persisted across restarts of its supervisor.
+    """
 
     change: str = ""
     seq: int = 0
     over: bool = True
     holder: str = ""
-    until: float = 0.0
+    expires_at: float = 0.0  # seconds
 
-    def ask(self, now: float, holder: str, change: str, seq: int, over: bool = False, after: str = "") -> str:
-        """Take or renew the lease; why not, or empty. `over`: the change is, and the lease goes back with it.
+    def acquire(self, now: float, holder: str, change: str, seq: int, over: bool = False, after: str = "") -> str:
+        """Acquire or renew the lease; returns why it is refused, or an empty text.
 
-        `after`: the change before, of which the conductor knows that it is over, also if this agent does not.
+        `over`: the rollout has finished, and its lease is released. `after`: the previous rollout, which the
+        controller knows to have finished even if this agent does not.
         """
-        if self.holder != holder and now < self.until:
-            return f"held by {self.holder} for {self.until - now:.0f} s more"
+        if self.holder != holder and now < self.expires_at:
+            return f"lease held by {self.holder} for another {self.expires_at - now:.0f} s"
         if change != self.change and not self.over and self.change != after:
-            return f"change {self.change} is not over"
+            return f"rollout {self.change} has not finished"
         if change == self.change and seq < self.seq:
-            return f"older than what was told here: {seq} after {self.seq}"
+            return f"stale rollout state: sequence number {seq} after {self.seq}"
         self.change, self.seq, self.over = change, seq, over
-        self.holder, self.until = ("", 0.0) if over else (holder, now + LEASE)
+        self.holder, self.expires_at = ("", 0.0) if over else (holder, now + LEASE_S)
         return ""
 
     def holds(self, now: float, holder: str) -> bool:
-        """May this conductor give orders?"""
-        return self.holder == holder and now < self.until
+        """Whether this controller has the lease and may give orders."""
+        return self.holder == holder and now < self.expires_at
--- a/seamlb/rollout/judge.py
+++ b/seamlb/rollout/judge.py
@@ -1,14 +1,14 @@
-"""Does the new revision do worse than the old one beside it? Pure, and may be asked as often as wished.
+"""Canary analysis: does the new revision do worse than the old one beside it? Pure; may be repeated at any rate.
 
-Every question is put as one of events: refusals, failures, answers slower than most, crashes. If the two revisions
-are alike, an event that happens falls on a new agent with the chance that its share of the exposure says, whatever
-the rate of such events is just then. The evidence that it does so more often is a likelihood ratio, averaged over how
-much more often (`RATIOS`). Such an average stays below 1/a for ever with a chance of 1-a (Ville's inequality), so
-looking after every sample costs nothing, and it counts events: few requests give little evidence and never a wrong
-variance.
+Each metric counts events: refusals, failures, answers slower than a quantile, crashes. If the two revisions are
+equal, an event falls on a new agent with a probability equal to the new agents' share of the exposure, whatever the
+current rate of such events is. The evidence for a higher rate at new agents is a likelihood ratio, averaged over
+several rate ratios (`RATE_RATIOS`). With probability 1-a such an average stays below 1/a for ever (Ville's
+inequality), so testing after every sample does not raise the false alarm rate. As it counts events, few requests give
+little evidence, and no variance has to be estimated from them.
 
-Agents differ, as some see several times the mean of traffic or trouble. How much more the old ones differ among each
-other than chance allows (Pearson's dispersion) divides the evidence.
+Agents differ: some see several times the mean traffic or error rate. The evidence is divided by how much more the old
+agents differ among each other than chance explains (Pearson's dispersion).
 """
 
 from __future__ import annotations
@@ -20,167 +20,173 @@
 
 from seamlb.rollout.figures import Evidence, Stratum, Tally
 
-RATIOS = (1.25, 1.6, 2.0, 3.0, 6.0, 12.0, 30.0, 100.0)  # how many times as often, each as likely
-SLOW = {"p50": 0.5, "p90": 0.9, "p99": 0.99}  # an answer slower than so many of both sides' together is an event
-SLOWER_BY = {"p50": 0.10, "p90": 0.03, "p99": 0.01}  # a share of slow answers that is higher by no more is borne
-LAG_BY = 0.05  # the same for the event loop's delay, whose samples hang together
-LEAST_TIMES = 100  # answers on the old side below which a stratum's times say nothing of the slowest in a hundred
-PRIOR = 4.0  # how many agents' worth of "they differ by chance only" the dispersion starts from
+RATE_RATIOS = (1.25, 1.6, 2.0, 3.0, 6.0, 12.0, 30.0, 100.0)  # new rate / old rate, equally weighted
+SLOW_QUANTILES = {"p50": 0.5, "p90": 0.9, "p99": 0.99}  # of both sides together; a slower answer is an event
+TOLERATED_SLOW_SHARE = {"p50": 0.10, "p90": 0.03, "p99": 0.01}  # tolerated increase in the share of slow answers
+TOLERATED_LAG_SHARE = 0.05  # the same for the event loop delay; higher, as its samples are correlated
+MIN_OLD_SAMPLES = 100  # with fewer times on the old side, the p99 is not known
+DISPERSION_PRIOR = 4.0  # degrees of freedom without overdispersion that the estimate starts with
 
 
 @dataclass(slots=True, frozen=True)
-class Count:
-    """Events of one question in one stratum, and the exposure they came from, on each side."""
+class EventCounts:
+    """Events of one metric in one stratum, and the exposure that they came from, on each side."""
 
-    new: float
-    here: float
-    old: float
-    there: float
-    square: float = 0.0  # how far the old agents are from each other, in units of chance
-    free: int = 0  # what chance alone would make of that
+    new_events: float
+    new_exposure: float
+    old_events: float
+    old_exposure: float
+    chi_square: float = 0.0  # Pearson's statistic of the differences between the old agents
+    degrees_of_freedom: int = 0  # the expected value of `chi_square` if only chance makes them differ
 
     @classmethod
-    def of(cls, new: Iterable[tuple[float, float]], old: Iterable[tuple[float, float]]) -> Count:
+    def from_agents(cls, new: Iterable[tuple[float, float]], old: Iterable[tuple[float, float]]) -> EventCounts:
         """From (events, exposure) of each agent."""
-        ours, theirs = list(new), [(k, n) for k, n in old if n > 0]
-        events, there = sum(k for k, _ in theirs), sum(n for _, n in theirs)
-        rate = events / there if there > 0 else 0.0
-        square = sum((k - n * rate) ** 2 / (n * rate) for k, n in theirs) if rate > 0 else 0.0
-        free = len(theirs) - 1 if rate > 0 else 0
-        return cls(sum(k for k, _ in ours), sum(n for _, n in ours), events, there, square, free)
+        changed, unchanged = list(new), [(k, n) for k, n in old if n > 0]
+        events, exposure = sum(k for k, _ in unchanged), sum(n for _, n in unchanged)
+        rate = events / exposure if exposure > 0 else 0.0
+        chi_square = sum((k - n * rate) ** 2 / (n * rate) for k, n in unchanged) if rate > 0 else 0.0
+        degrees = len(unchanged) - 1 if rate > 0 else 0
+        return cls(sum(k for k, _ in changed), sum(n for _, n in changed), events, exposure, chi_square, degrees)
 
 
 @dataclass(slots=True, frozen=True)
-class Worse:
-    """What the new revision does worse."""
+class Regression:
+    """A metric that is worse with the new revision."""
 
-    what: str
-    new: float  # share, or rate a second
+    metric: str
+    new: float  # share, or rate per second
     old: float
-    evidence: float  # the likelihood ratio
-    needed: float
+    likelihood_ratio: float
+    threshold: float
 
     def __str__(self) -> str:
-        weighed = f"evidence {self.evidence:.3g}, {self.needed:.3g} needed"
-        return f"{self.what}: {self.new:.4g} against {self.old:.4g} ({weighed})"
+        comparison = f"likelihood ratio {self.likelihood_ratio:.3g}, {self.threshold:.3g} required"
+        return f"{self.metric}: {self.new:.4g} with the new revision, {self.old:.4g} with the old ({comparison})"
 
 
-def dispersion(counts: Iterable[Count]) -> float:
-    """How many times more old agents differ than chance allows; at least 1."""
-    square, free = PRIOR, PRIOR
+def dispersion(counts: Iterable[EventCounts]) -> float:
+    """The ratio of the old agents' variance to the one that chance explains; at least 1."""
+    chi_square, degrees = DISPERSION_PRIOR, DISPERSION_PRIOR
     for count in counts:
-        square += count.square
-        free += count.free
-    return max(1.0, square / free)
+        chi_square += count.chi_square
+        degrees += count.degrees_of_freedom
+    return max(1.0, chi_square / degrees)
 
 
-def evidence(counts: list[Count]) -> float:
-    """The likelihood ratio of "more often at new agents" against "alike"; above 1 it speaks for worse."""
-    logs = [0.0] * len(RATIOS)
+def likelihood_ratio(counts: list[EventCounts]) -> float:
+    """The likelihood of "a higher rate at new agents" over that of "equal rates"; above 1 it speaks for worse."""
+    logs = [0.0] * len(RATE_RATIOS)
     for count in counts:
-        if count.here <= 0 or count.there <= 0:
+        if count.new_exposure <= 0 or count.old_exposure <= 0:
             continue
-        part, all_ = count.here / (count.here + count.there), count.new + count.old
-        for place, ratio in enumerate(RATIOS):
-            logs[place] += count.new * math.log(ratio) - all_ * math.log1p((ratio - 1.0) * part)
+        share, events = (
+            count.new_exposure / (count.new_exposure + count.old_exposure),
+            count.new_events + count.old_events,
+        )
+        for index, ratio in enumerate(RATE_RATIOS):
+            logs[index] += count.new_events * math.log(ratio) - events * math.log1p((ratio - 1.0) * share)
     scale = dispersion(counts)
     return sum(math.exp(min(700.0, one / scale)) for one in logs) / len(logs)
 
 
-def _sides(stratum: Stratum, of: Callable[[Tally], tuple[float, float]]) -> Count:
-    return Count.of(map(of, stratum.new.values()), map(of, stratum.old.values()))
+def _count_events(stratum: Stratum, count: Callable[[Tally], tuple[float, float]]) -> EventCounts:
+    return EventCounts.from_agents(map(count, stratum.new.values()), map(count, stratum.old.values()))
 
 
-def _slow(stratum: Stratum, of: Callable[[Tally], Counter[int]], part: float) -> Count | None:
-    """Times above the value that `part` of both sides' together don't pass; None where there are too few.
+def _count_slow(stratum: Stratum, histogram: Callable[[Tally], Counter[int]], quantile: float) -> EventCounts | None:
+    """Count times above a quantile of both sides together; None where there are too few times.
 
-    Both together: if they are alike, which of them the slow ones came from is pure chance then.
+    The quantile is that of both sides together so that, if they are equal, only chance decides which side the slow
+    ones came from.
     """
-    old = sum((of(one) for one in stratum.old.values()), Counter[int]())
-    both = sum((of(one) for one in stratum.new.values()), old.copy())
-    if old.total() < LEAST_TIMES or both.total() == old.total():
+    old = sum((histogram(one) for one in stratum.old.values()), Counter[int]())
+    both = sum((histogram(one) for one in stratum.new.values()), old.copy())
+    if old.total() < MIN_OLD_SAMPLES or both.total() == old.total():
         return None
-    need, mark = part * both.total(), 0
-    for mark in sorted(both):
-        need -= both[mark]
-        if need <= 0:
+    remaining, limit = quantile * both.total(), 0
+    for limit in sorted(both):
+        remaining -= both[limit]
+        if remaining <= 0:
             break
 
     def count(tally: Tally) -> tuple[float, float]:
-        times = of(tally)
-        return float(sum(k for value, k in times.items() if value > mark)), float(times.total())
+        times = histogram(tally)
+        return float(sum(k for value, k in times.items() if value > limit)), float(times.total())
 
-    return _sides(stratum, count)
+    return _count_events(stratum, count)
 
 
-ENDINGS = {
+OUTCOME_METRICS = {
     "refused": ("throttled",),
     "failed": ("faulted",),
-    "given up by callers": ("left",),
+    "abandoned by callers": ("left",),
     "not fulfilled": ("throttled", "faulted", "left"),
 }
 
 
-def _ask(stratum: Stratum) -> dict[str, Count]:
-    """All that is asked of one stratum, by name."""
-    asked: dict[str, Count | None] = {}
-    for kind in stratum.kinds():
-        for what, ends in ENDINGS.items():
-            asked[f"{kind} {what}"] = _sides(
+def _stratum_counts(stratum: Stratum) -> dict[str, EventCounts]:
+    """All metrics of one stratum, by name."""
+    metrics: dict[str, EventCounts | None] = {}
+    for kind in stratum.classes():
+        for metric, outcomes in OUTCOME_METRICS.items():
+            metrics[f"{kind} {metric}"] = _count_events(
                 stratum,
-                lambda t, k=kind, e=ends: (  # type: ignore[misc]
-                    float(sum(t.counts[k, how] for how in e)),
-                    float(t.ended(k)),
+                lambda t, k=kind, o=outcomes: (  # type: ignore[misc]
+                    float(sum(t.counts[k, outcome] for outcome in o)),
+                    float(t.completed(k)),
                 ),
             )
-        for name, part in SLOW.items():
-            asked[f"{kind} slower than the {name}"] = _slow(
+        for name, quantile in SLOW_QUANTILES.items():
+            metrics[f"{kind} slower than the {name}"] = _count_slow(
                 stratum,
                 lambda t, k=kind: t.answer_ms.get(k, Counter()),  # type: ignore[misc]
-                part,
+                quantile,
             )
-    asked["event loop later than the p99"] = _slow(stratum, lambda t: t.lag_ms, SLOW["p99"])
-    asked["crashes a second"] = _sides(stratum, lambda t: (float(t.crashes), t.seconds + t.crashes))
-    asked["faults a second"] = _sides(stratum, lambda t: (float(t.faults), t.seconds))
-    return {name: count for name, count in asked.items() if count}
-
-
-def questions(heard: Evidence) -> dict[str, list[Count]]:
-    """All that is asked, by name, stratum by stratum. What is over is counted once."""
-    asked: dict[str, list[Count]] = {}
-    for stratum in heard.strata:
-        if stratum.asked is None or stratum is heard.strata[-1]:
-            stratum.asked = _ask(stratum)
-        for name, count in stratum.asked.items():
-            asked.setdefault(name, []).append(count)
-    return asked
-
-
-def _borne(what: str, bearable: float) -> float:
-    """The difference that is no reason to stop."""
-    if what.endswith("a second"):
+    metrics["event loop delay above the p99"] = _count_slow(stratum, lambda t: t.lag_ms, SLOW_QUANTILES["p99"])
+    metrics["crashes per second"] = _count_events(stratum, lambda t: (float(t.crashes), t.observed_s + t.crashes))
+    metrics["faults per second"] = _count_events(stratum, lambda t: (float(t.faults), t.observed_s))
+    return {name: count for name, count in metrics.items() if count}
+
+
+def metric_counts(samples: Evidence) -> dict[str, list[EventCounts]]:
+    """All metrics, by name and stratum. Those of a stratum that is over are computed once."""
+    metrics: dict[str, list[EventCounts]] = {}
+    for stratum in samples.strata:
+        if stratum.metrics is None or stratum is samples.strata[-1]:
+            stratum.metrics = _stratum_counts(stratum)
+        for name, count in stratum.metrics.items():
+            metrics.setdefault(name, []).append(count)
+    return metrics
+
+
+def _tolerated_difference(metric: str, bearable: float) -> float:
+    if metric.endswith("per second"):
         return 0.0
-    if what.startswith("event loop"):
-        return LAG_BY
-    return next((least for name, least in SLOWER_BY.items() if what.endswith(f"slower than the {name}")), bearable)
+    if metric.startswith("event loop"):
+        return TOLERATED_LAG_SHARE
+    return next(
+        (share for name, share in TOLERATED_SLOW_SHARE.items() if metric.endswith(f"slower than the {name}")),
+        bearable,
+    )
 
 
-def worse(heard: Evidence, bearable: float, false_stop: float) -> Worse | None:
-    """The worst that is shown; None while nothing is.
+def find_regression(samples: Evidence, bearable: float, false_stop: float) -> Regression | None:
+    """The regression with the most evidence; None if none is significant.
 
-    `bearable`: a share of refused, failed or left requests higher by no more is no reason to stop. `false_stop`: the
-    chance that two equal revisions are told apart in this stage, however often this is asked.
+    `bearable`: tolerated increase in the share of refused, failed or abandoned requests. `false_stop`: the
+    probability of a false alarm in this stage between two equal revisions, however often this is called.
     """
-    asked = questions(heard)
-    needed = len(asked) / false_stop
+    metrics = metric_counts(samples)
+    threshold = len(metrics) / false_stop
     found = []
-    for what, counts in asked.items():
-        here, there = sum(one.here for one in counts), sum(one.there for one in counts)
-        new = sum(one.new for one in counts) / here if here > 0 else 0.0
-        old = sum(one.old for one in counts) / there if there > 0 else 0.0
-        if new - old <= _borne(what, bearable):
+    for metric, counts in metrics.items():
+        new_exposure, old_exposure = sum(one.new_exposure for one in counts), sum(one.old_exposure for one in counts)
+        new = sum(one.new_events for one in counts) / new_exposure if new_exposure > 0 else 0.0
+        old = sum(one.old_events for one in counts) / old_exposure if old_exposure > 0 else 0.0
+        if new - old <= _tolerated_difference(metric, bearable):
             continue
-        weight = evidence(counts)
-        if weight >= needed:
-            found.append(Worse(what, new, old, weight, needed))
-    return max(found, key=lambda one: one.evidence, default=None)
+        ratio = likelihood_ratio(counts)
+        if ratio >= threshold:
+            found.append(Regression(metric, new, old, ratio, threshold))
+    return max(found, key=lambda one: one.likelihood_ratio, default=None)
--- a/seamlb/rollout/keeping.py
+++ b/seamlb/rollout/keeping.py
@@ -1,17 +1,17 @@
-"""One agent's processes as its keeper has them: which runs, which comes up beside it, which goes. Pure.
+"""State machine of one agent's processes: which one serves, which one starts beside it, which ones drain. Pure.
 
-Time is seconds given in. Processes are numbers that the machine hands out; whoever carries its actions out tells it
-what became of each.
+Times are in seconds. Processes are identified by numbers that the state machine assigns; the supervisor that executes
+its actions reports what became of each process.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-READY_WITHIN = 10.0  # seconds in which a process that comes up beside another must say yes
-DRAIN_MOST = 7.0  # seconds from SIGTERM after which a process is killed: the longest drain, and a little
-BACK_OFF, BACK_OFF_MOST = 0.5, 8.0  # seconds before a crashed process is started anew, doubled each time
-CALM = 60.0  # seconds without a crash after which the back-off begins anew
+READY_TIMEOUT_S = 10.0  # for a process that starts beside another one
+DRAIN_TIMEOUT_S = 7.0  # from SIGTERM to SIGKILL: the longest drain, and a margin
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.5, 8.0  # before a crashed process is restarted, doubled each time
+BACKOFF_RESET_S = 60.0  # without a crash, after which the back-off starts at its initial value again
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Terminate:
-    """SIGTERM: it drains and ends by itself."""
+    """Send SIGTERM: the process drains and exits."""
 
     process: int
 
 
 @dataclass(slots=True, frozen=True)
 class Kill:
-    """SIGKILL."""
+    """Send SIGKILL."""
 
     process: int
 
@@ -40,118 +40,118 @@
 
 
 @dataclass(slots=True)
-class Run:
+class ManagedProcess:
     """A process that was started."""
 
     number: int
     revision: str
-    since: float
+    started_at: float
     ready: bool = False
 
 
 @dataclass(slots=True)
-class Keeping:
-    """The processes of one agent; `revision` is the one in force, which is started anew when it crashes."""
+class ProcessStateMachine:
+    """The processes of one agent; `revision` is the one in force, which is restarted when it crashes."""
 
     revision: str
-    current: Run | None = None
-    coming: Run | None = None
-    leaving: dict[int, float] = field(default_factory=dict)  # when each is killed
-    wanted: str = ""  # the last order
-    failed: str = ""  # why it came to nothing
+    current: ManagedProcess | None = None
+    starting: ManagedProcess | None = None
+    draining: dict[int, float] = field(default_factory=dict)  # when each is killed
+    desired: str = ""  # the revision of the last order
+    failure: str = ""  # why the last order failed; empty if it did not
     crashes: int = 0
-    started: int = 0
+    process_count: int = 0  # started so far
     start_at: float | None = 0.0  # when the revision in force is started, if it does not run
-    back_off: float = BACK_OFF
-    ending: bool = False
+    backoff_s: float = INITIAL_BACKOFF_S
+    shutting_down: bool = False
 
     # -- events -------------------------------------------------------------------------------
 
     def order(self, now: float, revision: str) -> list[Action]:
-        """Have a revision run; said twice it is done once, and the last one said holds."""
-        if self.ending:
+        """Switch to a revision. Repeating an order has no effect, and the last order counts."""
+        if self.shutting_down:
             return []
-        again = self.wanted == revision and not self.failed
-        self.wanted = revision
-        if again and (self.coming or self.revision == revision):
+        repeated = self.desired == revision and not self.failure
+        self.desired = revision
+        if repeated and (self.starting or self.revision == revision):
             return []
-        self.failed = ""
+        self.failure = ""
         actions: list[Action] = []
-        if self.coming:  # never told ready, so nothing was left to it: it can go at once
-            actions.append(self._drop(now, self.coming))
-            self.coming = None
+        if self.starting:  # it was never ready and has no calls, so it can be terminated at once
+            actions.append(self._terminate(now, self.starting))
+            self.starting = None
         if revision == self.revision:
             return actions
-        self.coming = self._run(now, revision)
-        return [*actions, Start(self.coming.number, revision)]
+        self.starting = self._new_process(now, revision)
+        return [*actions, Start(self.starting.number, revision)]
 
-    def ready(self, now: float, number: int) -> list[Action]:
-        """A process serves."""
+    def mark_ready(self, now: float, number: int) -> list[Action]:
+        """A process is ready to serve."""
         if self.current and self.current.number == number:
             self.current.ready = True
-        if self.coming is None or self.coming.number != number:
+        if self.starting is None or self.starting.number != number:
             return []
-        old, self.current, self.coming = self.current, self.coming, None
+        old, self.current, self.starting = self.current, self.starting, None
         self.current.ready = True
-        self.revision, self.start_at, self.back_off = self.current.revision, None, BACK_OFF
-        return [self._drop(now, old)] if old else []
+        self.revision, self.start_at, self.backoff_s = self.current.revision, None, INITIAL_BACKOFF_S
+        return [self._terminate(now, old)] if old else []
 
-    def unready(self, number: int) -> None:
-        """A process that served says no, or nothing."""
+    def mark_unready(self, number: int) -> None:
+        """A process that served reports that it is not ready, or doesn't answer."""
         if self.current and self.current.number == number:
             self.current.ready = False
 
-    def exited(self, now: float, number: int, how: str) -> list[Action]:
-        """A process is no more."""
-        if self.leaving.pop(number, None) is not None:
+    def exited(self, now: float, number: int, reason: str) -> list[Action]:
+        """A process has exited."""
+        if self.draining.pop(number, None) is not None:
             return []
-        if self.coming and self.coming.number == number:
-            self.coming, self.failed = None, f"ended before it served: {how}"
+        if self.starting and self.starting.number == number:
+            self.starting, self.failure = None, f"exited before it was ready: {reason}"
         elif self.current and self.current.number == number:
-            if now - self.current.since > CALM:
-                self.back_off = BACK_OFF
+            if now - self.current.started_at > BACKOFF_RESET_S:
+                self.backoff_s = INITIAL_BACKOFF_S
             self.current = None
-            if not self.ending:
+            if not self.shutting_down:
                 self.crashes += 1
-                self.start_at = now + self.back_off
-                self.back_off = min(BACK_OFF_MOST, 2.0 * self.back_off)
+                self.start_at = now + self.backoff_s
+                self.backoff_s = min(MAX_BACKOFF_S, 2.0 * self.backoff_s)
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed."""
+        """Apply the timeouts that have expired."""
         actions: list[Action] = []
-        for number, at in list(self.leaving.items()):
-            if now >= at:
-                self.leaving[number] = now + DRAIN_MOST
+        for number, deadline in list(self.draining.items()):
+            if now >= deadline:
+                self.draining[number] = now + DRAIN_TIMEOUT_S
                 actions.append(Kill(number))
-        if self.coming and now - self.coming.since > READY_WITHIN:
-            self.failed = f"not ready within {READY_WITHIN:g} s"
-            self.leaving[self.coming.number] = now + DRAIN_MOST
-            actions.append(Kill(self.coming.number))
-            self.coming = None
-        if self.start_at is not None and now >= self.start_at and not self.ending:
-            self.current, self.start_at = self._run(now, self.revision), None
+        if self.starting and now - self.starting.started_at > READY_TIMEOUT_S:
+            self.failure = f"not ready within {READY_TIMEOUT_S:g} s"
+            self.draining[self.starting.number] = now + DRAIN_TIMEOUT_S
+            actions.append(Kill(self.starting.number))
+            self.starting = None
+        if self.start_at is not None and now >= self.start_at and not self.shutting_down:
+            self.current, self.start_at = self._new_process(now, self.revision), None
             actions.append(Start(self.current.number, self.revision))
         return actions
 
-    def end(self, now: float) -> list[Action]:
-        """The keeper itself ends: all processes drain."""
-        self.ending, self.start_at = True, None
-        runs = [one for one in (self.current, self.coming) if one]
-        self.current = self.coming = None
-        return [self._drop(now, one) for one in runs]
+    def shut_down(self, now: float) -> list[Action]:
+        """Drain all processes, as the supervisor itself ends."""
+        self.shutting_down, self.start_at = True, None
+        processes = [one for one in (self.current, self.starting) if one]
+        self.current = self.starting = None
+        return [self._terminate(now, one) for one in processes]
 
-    # -- what follows -------------------------------------------------------------------------
+    # -- derived state ------------------------------------------------------------------------
 
     @property
     def running(self) -> str:
         """The revision that serves; empty if none does."""
         return self.current.revision if self.current else ""
 
-    def _run(self, now: float, revision: str) -> Run:
-        self.started += 1
-        return Run(self.started, revision, now)
+    def _new_process(self, now: float, revision: str) -> ManagedProcess:
+        self.process_count += 1
+        return ManagedProcess(self.process_count, revision, now)
 
-    def _drop(self, now: float, run: Run) -> Action:
-        self.leaving[run.number] = now + DRAIN_MOST
-        return Terminate(run.number)
+    def _terminate(self, now: float, process: ManagedProcess) -> Action:
+        self.draining[process.number] = now + DRAIN_TIMEOUT_S
+        return Terminate(process.number)
--- a/seamlb/rollout/measures.py
+++ b/seamlb/rollout/measures.py
@@ -1,4 +1,4 @@
-"""What an agent tells of itself to whoever compares two versions: ends and times by class, its own lateness."""
+"""Metrics that an agent exports to compare two revisions: outcomes and answer times by class, event loop delay."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 
 from seamlb import __version__, log
 
-LONGEST = 120_000  # ms; what takes longer counts as this
-DIGITS = 2  # of a time that are kept
-BEAT = 0.05  # seconds between two looks at the event loop's lateness
-FAULTS = ("fault", "drain_late")  # log lines that no healthy version writes
+MAX_RECORDED_MS = 120_000  # longer times are recorded as this
+SIGNIFICANT_DIGITS = 2
+LAG_INTERVAL_S = 0.05  # between two samples of the event loop delay
+FAULT_EVENTS = ("fault", "drain_late")  # log events that a correct revision never writes
 
 
 class CanaryMetrics:
     """Counts since the start of the process."""
 
     def __init__(self) -> None:
-        self.process = uuid.uuid4().hex
+        self.process_id = uuid.uuid4().hex
         self.counts: dict[str, Counter[str]] = {}
-        self.answers: dict[str, HdrHistogram] = {}
-        self.lag = HdrHistogram(1, LONGEST, DIGITS)
+        self.answer_times: dict[str, HdrHistogram] = {}
+        self.lag = HdrHistogram(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS)
 
-    def record_outcome(self, kind: str, how: str, ms: float) -> None:
-        """A request of a class got its final answer, or its caller left."""
-        self.counts.setdefault(kind, Counter())[how] += 1
-        if how == "fulfilled":
-            self._of(kind).record_value(min(LONGEST, max(1, round(ms))))
+    def record_outcome(self, kind: str, outcome: str, ms: float) -> None:
+        """Count a request of a class that got its final answer, or whose caller abandoned it."""
+        self.counts.setdefault(kind, Counter())[outcome] += 1
+        if outcome == "fulfilled":
+            self._histogram(kind).record_value(min(MAX_RECORDED_MS, max(1, round(ms))))
 
-    def _of(self, kind: str) -> HdrHistogram:
-        if kind not in self.answers:
-            self.answers[kind] = HdrHistogram(1, LONGEST, DIGITS)
-        return self.answers[kind]
+    def _histogram(self, kind: str) -> HdrHistogram:
+        if kind not in self.answer_times:
+            self.answer_times[kind] = HdrHistogram(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS)
+        return self.answer_times[kind]
 
     async def run(self) -> None:
-        """Look at the event loop until cancelled."""
+        """Sample the event loop delay until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + BEAT
-            await asyncio.sleep(BEAT)
-            self.lag.record_value(min(LONGEST, max(1, round((loop.time() - due) * 1000.0))))
+            due = loop.time() + LAG_INTERVAL_S
+            await asyncio.sleep(LAG_INTERVAL_S)
+            self.lag.record_value(min(MAX_RECORDED_MS, max(1, round((loop.time() - due) * 1000.0))))
 
     def snapshot(self) -> dict[str, Any]:
-        """What `/admin/measures` shows: times as {milliseconds: how many}."""
+        """The body of `/admin/measures`; histograms are {milliseconds: count}."""
         return {
-            "process": self.process,
+            "process": self.process_id,
             "version": __version__,
             "counts": self.counts,
-            "answer_ms": {kind: _sparse(one) for kind, one in self.answers.items()},
+            "answer_ms": {kind: _sparse(one) for kind, one in self.answer_times.items()},
             "lag_ms": _sparse(self.lag),
-            "faults": sum(log.counts[one] for one in FAULTS),
+            "faults": sum(log.counts[one] for one in FAULT_EVENTS),
         }
 
 
--- a/seamlb/rollout/plan.py
+++ b/seamlb/rollout/plan.py
@@ -1,4 +1,4 @@
-"""What an operator writes of a change, in TOML, checked whole."""
+"""The rollout plan that an operator writes in TOML; it is validated completely before anything starts."""
 
 from __future__ import annotations
 
@@ -12,96 +12,97 @@
 
 from seamlb.net.address import split_address
 
-MOST_CONFIG = 48 * 1024  # bytes; an order carries it, and may have 64 KiB
+MAX_CONFIG_BYTES = 48 * 1024  # sent inside an order, whose request body is limited to 64 KiB
 
 
 class PlanError(Exception):
-    """A plan that can't be used; its text is one line for the operator."""
+    """An unusable plan; its text is one line for the operator."""
 
 
 class Revision(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What an agent runs: the program's command and its configuration.
 
-    It never changes: `ident` names command and configuration byte by byte; a file that is edited is another revision.
+    A revision is immutable: `ident` covers every byte of command and configuration, so an edited file is another
+    revision.
     """
 
     name: str
     command: tuple[str, ...]  # the program and its arguments
-    config: str  # a file, relative to the one that names it; its text once `digest` is there
+    config: str  # path relative to the file that names it; the file's text once `digest` is set
     digest: str = ""
 
     @property
     def ident(self) -> str:
-        """What keepers and conductors call it."""
+        """The identifier that supervisors and controllers use."""
         return f"{self.name}-{self.digest}"
 
     @property
-    def true(self) -> bool:
-        """Is it what its digest says?"""
-        return self.digest == self._digest()
+    def digest_matches(self) -> bool:
+        """Whether the digest is that of command and configuration."""
+        return self.digest == self._compute_digest()
 
-    def _digest(self) -> str:
+    def _compute_digest(self) -> str:
         return blake2b("\0".join((*self.command, "", self.config)).encode(), digest_size=6).hexdigest()
 
-    def read(self, folder: Path) -> Revision:
-        """With its configuration's text and its digest; OSError or ValueError if the file can't be read."""
+    def load(self, folder: Path) -> Revision:
+        """A copy with the configuration's text and the digest; OSError or ValueError if the file can't be read."""
         text = (folder / self.config).read_text()
-        if len(text.encode()) > MOST_CONFIG:
-            raise ValueError(f"{self.config}: over {MOST_CONFIG} bytes, more than a keeper takes")
-        whole = msgspec.structs.replace(self, config=text)
-        return msgspec.structs.replace(whole, digest=whole._digest())
+        if len(text.encode()) > MAX_CONFIG_BYTES:
+            raise ValueError(f"{self.config}: larger than {MAX_CONFIG_BYTES} bytes, the limit of a supervisor")
+        loaded = msgspec.structs.replace(self, config=text)
+        return msgspec.structs.replace(loaded, digest=loaded._compute_digest())
 
 
 class Stage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """So many agents run the new revision, for so long."""
+    """One step of a rollout: how many agents run the new revision, and for how long."""
 
-    agents: int | str  # a number, a share like "10 %", or "all"
+    agents: int | str  # a number, a percentage like "10 %", or "all"
     bake: float = 60.0  # seconds
-    least: dict[str, int] = {}  # by class: requests that the changed agents must have brought to an end
-    most: float = 900.0  # seconds from the stage's start after which it is stopped if it is still not over
+    least: dict[str, int] = {}  # by class: requests that the changed agents must have completed
+    most: float = 900.0  # seconds after the stage's start; a stage that takes longer stops the rollout
 
-    def size(self, fleet: int) -> int:
-        """How many agents of a fleet; at least one."""
+    def agent_count(self, fleet_size: int) -> int:
+        """The number of agents in a fleet of the given size; at least one."""
         if isinstance(self.agents, int):
-            return min(fleet, self.agents)
+            return min(fleet_size, self.agents)
         if self.agents == "all":
-            return fleet
-        return max(1, math.ceil(fleet * float(self.agents.removesuffix("%")) / 100.0 - 1e-9))
+            return fleet_size
+        return max(1, math.ceil(fleet_size * float(self.agents.removesuffix("%")) / 100.0 - 1e-9))
 
 
 class Agent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One agent, by its keeper's address."""
+    """One agent and its supervisor's address."""
 
     name: str
     keeper: str
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A change from one revision to another."""
+    """A rollout from one revision to another."""
 
     old: Revision
     new: Revision
     stage: tuple[Stage, ...]
     agent: tuple[Agent, ...]  # in the order in which they are changed
-    surge: int = 1  # agents that have two processes, at most
-    unavailable: int = 0  # agents not ready, at most, for a further one to be begun
-    bearable: float = 0.005  # share of requests not served that may be more at changed agents
-    false_stop: float = 0.05  # chance to stop a change between equal revisions
-    crashes: int = 1  # of one changed agent in a stage, at most
-    settle: float = 15.0  # seconds in which an agent that has gone over is not judged: it learns its desks anew
-    silence: float = 10.0  # seconds without news of a changed agent after which the change is stopped
+    surge: int = 1  # maximum number of agents with two processes at a time
+    unavailable: int = 0  # maximum number of agents not ready for another one to be started
+    bearable: float = 0.005  # tolerated increase in the share of unserved requests at changed agents
+    false_stop: float = 0.05  # probability of stopping a rollout between equal revisions
+    crashes: int = 1  # maximum per changed agent and stage
+    settle: float = 15.0  # seconds after the switch in which an agent is not compared, as it learns its desks again
+    silence: float = 10.0  # seconds without an answer or figures of a changed agent after which the rollout stops
 
-    def sizes(self) -> list[int]:
-        """Changed agents by stage."""
-        return [one.size(len(self.agent)) for one in self.stage]
+    def stage_sizes(self) -> list[int]:
+        """The number of changed agents in each stage."""
+        return [one.agent_count(len(self.agent)) for one in self.stage]
 
 
 def load_plan(path: Path) -> Plan:
-    """Read and check a plan; the revisions' files are named from where it stands."""
+    """Read and validate a plan; the paths of its revisions are relative to the plan's folder."""
     try:
         plan = msgspec.convert(tomllib.loads(path.read_text()), Plan)
-        _check(plan)
-        old, new = plan.old.read(path.parent), plan.new.read(path.parent)
+        _validate(plan)
+        old, new = plan.old.load(path.parent), plan.new.load(path.parent)
         if old.digest == new.digest:
             raise ValueError("new: the same command and configuration as old")
     except OSError as error:
@@ -111,39 +112,43 @@
     return msgspec.structs.replace(plan, old=old, new=new)
 
 
-def _check(plan: Plan) -> None:
-    """ValueError naming the key and what is wrong with it."""
+def _validate(plan: Plan) -> None:
+    """Raise a ValueError that names the key and its fault."""
 
-    def need(true: Any, key: str, text: str) -> None:
-        if not true:
+    def require(condition: Any, key: str, text: str) -> None:
+        if not condition:
             raise ValueError(f"{key}: {text}")
 
     for key, revision in (("old", plan.old), ("new", plan.new)):
-        need(revision.name and revision.command, key, "name and command can't be empty")
-        need(not revision.digest, f"{key}.digest", "not the operator's to say")
-    need(plan.old.name != plan.new.name, "new.name", "the same as old.name")
-    need(plan.agent, "agent", "none")
-    for what in ("name", "keeper"):
-        told = [getattr(one, what) for one in plan.agent]
-        need(len(set(told)) == len(told), f"agent.{what}", "one is there twice")
+        require(revision.name and revision.command, key, "name and command must not be empty")
+        require(not revision.digest, f"{key}.digest", "is computed and can't be set")
+    require(plan.old.name != plan.new.name, "new.name", "must differ from old.name")
+    require(plan.agent, "agent", "at least one is required")
+    for field in ("name", "keeper"):
+        values = [getattr(one, field) for one in plan.agent]
+        require(len(set(values)) == len(values), f"agent.{field}", "duplicate value")
     for agent in plan.agent:
         split_address(agent.keeper)
-    need(plan.stage, "stage", "none")
-    for place, stage in enumerate(plan.stage):
-        key = f"stage[{place}]"
+    require(plan.stage, "stage", "at least one is required")
+    for index, stage in enumerate(plan.stage):
+        key = f"stage[{index}]"
         if isinstance(stage.agents, str) and stage.agents != "all":
             share = stage.agents.removesuffix("%").strip()
-            good = stage.agents.endswith("%") and share.replace(".", "", 1).isdigit() and 0 < float(share) <= 100
-            need(good, f"{key}.agents", f'no number, share or "all": {stage.agents!r}')
+            valid = stage.agents.endswith("%") and share.replace(".", "", 1).isdigit() and 0 < float(share) <= 100
+            require(valid, f"{key}.agents", f'must be a number, a percentage or "all", not {stage.agents!r}')
         elif isinstance(stage.agents, int):
-            need(stage.agents > 0, f"{key}.agents", "not above 0")
-        need(0 <= stage.bake < stage.most, f"{key}.most", "not above bake")
-        need(all(one >= 0 for one in stage.least.values()), f"{key}.least", "below 0")
-    sizes = plan.sizes()
-    need(all(a < b for a, b in zip(sizes, sizes[1:], strict=False)), "stage", f"not growing: {sizes} agents")
-    need(sizes[-1] == len(plan.agent), "stage", "the last one leaves agents out")
-    need(plan.surge > 0, "surge", "not above 0")
-    need(plan.unavailable >= 0 and plan.crashes >= 0, "unavailable, crashes", "below 0")
-    need(0 <= plan.bearable < 1, "bearable", "no share")
-    need(0 < plan.false_stop < 1, "false_stop", "no chance")
-    need(plan.silence > 0 and plan.settle >= 0, "silence, settle", "not above 0")
+            require(stage.agents > 0, f"{key}.agents", "must be above 0")
+        require(0 <= stage.bake < stage.most, f"{key}.most", "must be above bake, which must not be negative")
+        require(all(one >= 0 for one in stage.least.values()), f"{key}.least", "must not be negative")
+    sizes = plan.stage_sizes()
+    require(
+        all(a < b for a, b in zip(sizes, sizes[1:], strict=False)),
+        "stage",
+        f"must increase from stage to stage, not {sizes} agents",
+    )
+    require(sizes[-1] == len(plan.agent), "stage", "the last one must include every agent")
+    require(plan.surge > 0, "surge", "must be above 0")
+    require(plan.unavailable >= 0 and plan.crashes >= 0, "unavailable, crashes", "must not be negative")
+    require(0 <= plan.bearable < 1, "bearable", "must be at least 0 and below 1")
+    require(0 < plan.false_stop < 1, "false_stop", "must be between 0 and 1")
+    require(plan.silence > 0 and plan.settle >= 0, "silence, settle", "silence must be above 0, settle not negative")
--- a/tests/test_rollout_files.py
+++ b/tests/test_rollout_files.py
@@ -1,4 +1,4 @@
-"""What a change leaves on the disk, and plans of stages."""
+"""Persisted rollout state, operators' commands, and validation of plans."""
 
 import os
 import tempfile
@@ -10,29 +10,29 @@
 
 from seamlb.cli import main
 from seamlb.rollout.change import RolloutState
-from seamlb.rollout.conductor import Folder
+from seamlb.rollout.conductor import StateFolder
 from seamlb.rollout.plan import Stage
 from seamlb.store import record
-from tests.rollout_toy import plan
+from tests.rollout_toy import make_plan
 
 
-class Disk(unittest.TestCase):
+class PersistenceTests(unittest.TestCase):
     def setUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.path = self.folder / "r"
 
-    def test_a_record_cut_at_any_byte_or_changed_anywhere_is_found(self) -> None:
+    def test_a_truncated_or_modified_record_is_detected(self) -> None:
         record.write(self.path, b"what is kept")
         whole = self.path.read_bytes()
         self.assertEqual(record.read(self.path), b"what is kept")
-        for at in range(len(whole)):
-            for torn in (whole[:at], whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :]):
-                self.path.write_bytes(torn)
-                with self.assertRaises(record.RecordError, msg=(at, torn)):
+        for offset in range(len(whole)):
+            for corrupt in (whole[:offset], whole[:offset] + bytes([whole[offset] ^ 1]) + whole[offset + 1 :]):
+                self.path.write_bytes(corrupt)
+                with self.assertRaises(record.RecordError, msg=(offset, corrupt)):
                     record.read(self.path)
         self.assertIsNone(record.read(self.folder / "none"))
 
-    def test_a_disk_that_fails_leaves_the_old_record_and_no_litter(self) -> None:
+    def test_a_failed_write_keeps_the_old_record_and_leaves_no_temporary_file(self) -> None:
         record.write(self.path, b"old")
         real = os.fsync
         try:
@@ -48,29 +48,29 @@
         finally:
             self.assertIs(os.fsync, real)
 
-    def test_a_place_whose_revision_lies_is_not_acted_on(self) -> None:
-        folder = Folder(self.folder)
-        folder.keep(RolloutState("c", plan()))  # its digests are made up
-        with self.assertRaisesRegex(record.RecordError, "not what its digest says"):
-            folder.place()
+    def test_a_state_with_a_wrong_revision_digest_is_rejected(self) -> None:
+        folder = StateFolder(self.folder)
+        folder.save(RolloutState("c", make_plan()))  # its digests are invalid
+        with self.assertRaisesRegex(record.RecordError, "doesn't match its digest"):
+            folder.load()
 
-    def test_two_conductors_at_one_folder(self) -> None:
-        first, second = Folder(self.folder), Folder(self.folder)
+    def test_only_one_controller_can_lock_a_folder(self) -> None:
+        first, second = StateFolder(self.folder), StateFolder(self.folder)
         self.assertTrue(first.lock())
         self.assertFalse(second.lock())
-        first.free()
+        first.unlock()
         self.assertTrue(second.lock())
 
-    def test_a_wish_is_taken_once_and_a_torn_one_is_none(self) -> None:
-        folder = Folder(self.folder)
-        folder.wish("pause")
-        self.assertEqual((folder.wished(), folder.wished()), ("pause", ""))
+    def test_a_command_is_taken_once_and_a_corrupt_one_is_ignored(self) -> None:
+        folder = StateFolder(self.folder)
+        folder.submit("pause")
+        self.assertEqual((folder.take_command(), folder.take_command()), ("pause", ""))
         (self.folder / "wish").write_bytes(b"abort")
-        self.assertEqual(folder.wished(), "")
+        self.assertEqual(folder.take_command(), "")
 
 
-class Plans(unittest.TestCase):
-    GOOD = """
+class PlanTests(unittest.TestCase):
+    VALID = """
 [old]
 name = "1"
 command = ["one"]
@@ -91,33 +91,33 @@
 agents = "all"
 """
 
-    def test_plans_are_checked_whole(self) -> None:
+    def test_an_invalid_plan_is_rejected_with_one_line(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             (folder / "c.json").write_text("{}")
             cases = (
                 ("", "", ""),
-                ("127.0.0.1:2", "127.0.0.1:1", "agent.keeper: one is there twice"),
-                ('name = "2"', 'name = "1"', "new.name: the same as old.name"),
+                ("127.0.0.1:2", "127.0.0.1:1", "agent.keeper: duplicate value"),
+                ('name = "2"', 'name = "1"', "new.name: must differ from old.name"),
                 ('["two"]', '["one"]', "new: the same command and configuration as old"),
-                ('"all"', '"10 %"', "stage: not growing"),
-                ('"all"', '"most"', "stage[1].agents: no number"),
-                ("agents = 1\n", "agents = 0\n", "stage[0].agents: not above 0"),
-                ("agents = 1\n", "agents = 1\nbake = 1000\n", "stage[0].most: not above bake"),
+                ('"all"', '"10 %"', "stage: must increase from stage to stage"),
+                ('"all"', '"most"', "stage[1].agents: must be a number"),
+                ("agents = 1\n", "agents = 0\n", "stage[0].agents: must be above 0"),
+                ("agents = 1\n", "agents = 1\nbake = 1000\n", "stage[0].most: must be above bake"),
                 ('agents = "all"', 'agents = "all"\nleats = 3', "unknown field `leats`"),
                 ('"c.json"', '"d.json"', "d.json: No such file"),
                 ('config = "c.json"\n', "", "`config`"),
             )
-            for old, new, says in cases:
-                with self.subTest(says=says):
+            for old, new, error in cases:
+                with self.subTest(error=error):
                     path = folder / "p.toml"
-                    path.write_text(self.GOOD.replace(old, new, 1) if old else self.GOOD)
-                    told = CliRunner().invoke(main, ["rollout", "plan", str(path)])
-                    self.assertEqual(told.exit_code, 2 if says else 0, told.output)
-                    self.assertIn(says, told.output)
-                    if says:
-                        self.assertEqual(told.output.count("\n"), 1, told.output)
+                    path.write_text(self.VALID.replace(old, new, 1) if old else self.VALID)
+                    result = CliRunner().invoke(main, ["rollout", "plan", str(path)])
+                    self.assertEqual(result.exit_code, 2 if error else 0, result.output)
+                    self.assertIn(error, result.output)
+                    if error:
+                        self.assertEqual(result.output.count("\n"), 1, result.output)
 
-    def test_shares_round_up_to_whole_agents(self) -> None:
-        sizes = [Stage(what).size(24) for what in (1, "1 %", "10 %", "50 %", "all", 99)]  # type: ignore[arg-type]
+    def test_percentages_are_rounded_up_to_whole_agents(self) -> None:
+        sizes = [Stage(agents).agent_count(24) for agents in (1, "1 %", "10 %", "50 %", "all", 99)]  # type: ignore[arg-type]
         self.assertEqual(sizes, [1, 1, 3, 12, 24, 24])
