--- a/seamlb/subsystems/measures.py
+++ b/seamlb/subsystems/measures.py
@@ -1,4 +1,4 @@
-"""Ends and times by class, for those who compare two versions."""
+"""Results and times to answer by class, for the comparison of two versions in a rollout."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from seamlb.rollout.measures import CanaryMetrics
 from seamlb.routing.agent import Agent
-from seamlb.subsystems import Subsystem, Table
+from seamlb.subsystems import Subsystem, View
 
 
-class MeasuresPart(Subsystem):
+class MeasuresSubsystem(Subsystem):
     """`/admin/measures`."""
 
     def __init__(self, agent: Agent) -> None:
-        self.measures = CanaryMetrics()
-        agent.measure = self.measures.record_outcome
+        self.metrics = CanaryMetrics()
+        agent.measure = self.metrics.record_outcome
 
-    def tables(self) -> Mapping[str, Table]:
-        """The measures, for operators."""
-        return {"/admin/measures": self.measures.snapshot}
+    def views(self) -> Mapping[str, View]:
+        """The metrics."""
+        return {"/admin/measures": self.metrics.snapshot}
 
-    def runs(self) -> list[Coroutine[None, None, None]]:
-        """The sampling of the loop's lag."""
-        return [self.measures.run()]
+    def background_tasks(self) -> list[Coroutine[None, None, None]]:
+        """Samples the lag of the event loop."""
+        return [self.metrics.run()]
