--- a/seamlb/rollout/command.py
+++ b/seamlb/rollout/command.py
@@ -11,7 +11,7 @@
 import click
 
 from seamlb.rollout.change import FINAL_PHASES, RolloutState
-from seamlb.rollout.conductor import COMMANDS, ChangeRefusedError, RolloutController, StateFolder
+from seamlb.rollout.conductor import COMMANDS, RolloutController, RolloutRefusedError, StateFolder
 from seamlb.rollout.keeper import Supervisor, load_supervisor
 from seamlb.rollout.plan import Plan, PlanError, load_plan
 from seamlb.store import record
@@ -59,7 +59,7 @@
 
     try:
         final = asyncio.run(run())
-    except ChangeRefusedError as error:
+    except RolloutRefusedError as error:
         _exit(str(error), 1)
     except KeyboardInterrupt:
         _exit("stopped; the rollout keeps its state, `seamlb rollout resume` continues it", 1)
@@ -74,7 +74,10 @@
     loaded = _load_plan(plan)
     click.echo(f"{loaded.old.ident} -> {loaded.new.ident}, {len(loaded.agent)} agents, {loaded.surge} at a time")
     for stage, size in zip(loaded.stage, loaded.stage_sizes(), strict=True):
-        least = ", ".join(f"{count} {kind}" for kind, count in stage.least.items()) or "no minimum of requests"
+        least = (
+            ", ".join(f"{count} {class_name}" for class_name, count in stage.least.items())
+            or "no minimum of requests"
+        )
         click.echo(f"  {size} agents, bake time {stage.bake:g} s, time limit {stage.most:g} s; {least}")
 
 
--- a/seamlb/rollout/conductor.py
+++ b/seamlb/rollout/conductor.py
@@ -31,7 +31,7 @@
 COMMANDS = ("pause", "resume", "abort")
 
 
-class ChangeRefusedError(Exception):
+class RolloutRefusedError(Exception):
     """This controller may not act; its text is one line for the operator."""
 
 
@@ -203,20 +203,20 @@
         await self._for_all(self._poll_agent)
 
     async def begin(self) -> None:
-        """Acquire leases from more than half of the fleet; ChangeRefusedError without them or on any refusal."""
+        """Acquire leases from more than half of the fleet; RolloutRefusedError without them or on any refusal."""
         held = sum(await self._for_all(self._lease))
         if self.refusals:
             agent, error = min(self.refusals.items())
-            raise ChangeRefusedError(f"{agent}: {error}")
+            raise RolloutRefusedError(f"{agent}: {error}")
         if 2 * held <= len(self.supervisors):
-            raise ChangeRefusedError(f"only {held} of {len(self.supervisors)} supervisors respond")
+            raise RolloutRefusedError(f"only {held} of {len(self.supervisors)} supervisors respond")
         await self.poll()
         for agent, status in sorted(self.fleet.items()):
             if status.running and status.running not in self.revisions:
-                raise ChangeRefusedError(f"{agent}: runs {status.running}, which is neither old nor new")
+                raise RolloutRefusedError(f"{agent}: runs {status.running}, which is neither old nor new")
 
     async def run(self) -> RolloutState:
-        """Run until the rollout has finished; ChangeRefusedError if half of the agents or more refuse the lease."""
+        """Run until the rollout has finished; RolloutRefusedError if half of the agents or more refuse the lease."""
         loop = asyncio.get_running_loop()
         await self.begin()
         machine = RolloutStateMachine(self.state, loop.time())
@@ -241,7 +241,7 @@
                 orders = []
             held = await self._for_all(self._lease)
             if 2 * len(self.refusals) >= len(self.supervisors):
-                raise ChangeRefusedError(f"leases are refused: {min(self.refusals.values())}")
+                raise RolloutRefusedError(f"leases are refused: {min(self.refusals.values())}")
             if self.state.phase in FINAL_PHASES and not self.disk_error:
                 if all(held):
                     return self.state
--- a/seamlb/rollout/figures.py
+++ b/seamlb/rollout/figures.py
@@ -38,16 +38,16 @@
     def add(self, new: Sample, old: Sample | None) -> None:
         """Add the increase from `old` to `new`; without `old`, all that the process did."""
         self.counts += _increase(new.counts, old.counts if old else {})
-        for kind, times in new.answer_ms.items():
-            self.answer_ms.setdefault(kind, Counter()).update(
-                _increase(times, old.answer_ms.get(kind, {}) if old else {})
+        for class_name, times in new.answer_ms.items():
+            self.answer_ms.setdefault(class_name, Counter()).update(
+                _increase(times, old.answer_ms.get(class_name, {}) if old else {})
             )
         self.lag_ms += _increase(new.lag_ms, old.lag_ms if old else {})
         self.faults += new.faults - (old.faults if old else 0)
 
-    def completed(self, kind: str) -> int:
+    def completed(self, class_name: str) -> int:
         """The number of completed requests of a class."""
-        return sum(self.counts[kind, outcome] for outcome in OUTCOMES)
+        return sum(self.counts[class_name, outcome] for outcome in OUTCOMES)
 
 
 def _increase(new: Mapping[K, int], old: Mapping[K, int]) -> Counter[K]:
@@ -65,7 +65,9 @@
 
     def classes(self) -> list[str]:
         """All request classes with at least one count."""
-        return sorted({kind for side in (self.new, self.old) for tally in side.values() for kind, _ in tally.counts})
+        return sorted(
+            {class_name for side in (self.new, self.old) for tally in side.values() for class_name, _ in tally.counts}
+        )
 
     def tally(self, agent: str) -> Tally:
         """An agent's tally on the side of the revision that it runs."""
@@ -112,9 +114,9 @@
         tally.add(sample, last if last.process_id == sample.process_id else None)
         tally.observed_s += max(0.0, sample.as_of - last.as_of)
 
-    def completed(self, kind: str) -> tuple[int, int]:
+    def completed(self, class_name: str) -> tuple[int, int]:
         """Completed requests of a class, at new and at old agents."""
         return (
-            sum(one.completed(kind) for stratum in self.strata for one in stratum.new.values()),
-            sum(one.completed(kind) for stratum in self.strata for one in stratum.old.values()),
+            sum(one.completed(class_name) for stratum in self.strata for one in stratum.new.values()),
+            sum(one.completed(class_name) for stratum in self.strata for one in stratum.old.values()),
         )
--- a/seamlb/rollout/judge.py
+++ b/seamlb/rollout/judge.py
@@ -128,19 +128,19 @@
 def _stratum_counts(stratum: Stratum) -> dict[str, EventCounts]:
     """All metrics of one stratum, by name."""
     metrics: dict[str, EventCounts | None] = {}
-    for kind in stratum.classes():
+    for class_name in stratum.classes():
         for metric, outcomes in OUTCOME_METRICS.items():
-            metrics[f"{kind} {metric}"] = _count_events(
+            metrics[f"{class_name} {metric}"] = _count_events(
                 stratum,
-                lambda t, k=kind, o=outcomes: (  # type: ignore[misc]
+                lambda t, k=class_name, o=outcomes: (  # type: ignore[misc]
                     float(sum(t.counts[k, outcome] for outcome in o)),
                     float(t.completed(k)),
                 ),
             )
         for name, quantile in SLOW_QUANTILES.items():
-            metrics[f"{kind} slower than the {name}"] = _count_slow(
+            metrics[f"{class_name} slower than the {name}"] = _count_slow(
                 stratum,
-                lambda t, k=kind: t.answer_ms.get(k, Counter()),  # type: ignore[misc]
+                lambda t, k=class_name: t.answer_ms.get(k, Counter()),  # type: ignore[misc]
                 quantile,
             )
     metrics["event loop delay above the p99"] = _count_slow(stratum, lambda t: t.lag_ms, SLOW_QUANTILES["p99"])
--- a/seamlb/rollout/keeper.py
+++ b/seamlb/rollout/keeper.py
@@ -167,15 +167,15 @@
     async def _drain_orphans(self) -> None:
         """Drain the orphans, then kill those that have not exited."""
         loop = asyncio.get_running_loop()
-        deadline, number = loop.time() + DRAIN_TIMEOUT_S, signal.SIGTERM
+        deadline, signal_number = loop.time() + DRAIN_TIMEOUT_S, signal.SIGTERM
         while self.orphans:
             for pid, _ in self.orphans:
                 with contextlib.suppress(ProcessLookupError):
-                    os.kill(pid, number)
+                    os.kill(pid, signal_number)
             while loop.time() < deadline and self.orphans:
                 await asyncio.sleep(TICK_S)
                 self.orphans = [[pid, start] for pid, start in self.orphans if _process_start(pid) == start]
-            deadline, number = loop.time() + DRAIN_TIMEOUT_S, signal.SIGKILL
+            deadline, signal_number = loop.time() + DRAIN_TIMEOUT_S, signal.SIGKILL
         self._save_processes()
 
     # -- processes ----------------------------------------------------------------------------
@@ -336,8 +336,8 @@
             raise OSError(errno.EADDRINUSE, f"another supervisor is active in {self.folder}")
         self._find_orphans()
         self._bind()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop_requested.set)
         self.server.start()
         monitor = loop.create_task(self._monitor())
         log.event("keeping", name=self.config.name, at=self.config.at, revision=self.machine.revision)
--- a/seamlb/rollout/measures.py
+++ b/seamlb/rollout/measures.py
@@ -26,16 +26,16 @@
         self.answer_times: dict[str, HdrHistogram] = {}
         self.lag = HdrHistogram(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS)
 
-    def record_outcome(self, kind: str, outcome: str, ms: float) -> None:
+    def record_outcome(self, class_name: str, outcome: str, ms: float) -> None:
         """Count a request of a class that got its final answer, or whose caller abandoned it."""
-        self.counts.setdefault(kind, Counter())[outcome] += 1
+        self.counts.setdefault(class_name, Counter())[outcome] += 1
         if outcome == "fulfilled":
-            self._histogram(kind).record_value(min(MAX_RECORDED_MS, max(1, round(ms))))
+            self._histogram(class_name).record_value(min(MAX_RECORDED_MS, max(1, round(ms))))
 
-    def _histogram(self, kind: str) -> HdrHistogram:
-        if kind not in self.answer_times:
-            self.answer_times[kind] = HdrHistogram(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS)
-        return self.answer_times[kind]
+    def _histogram(self, class_name: str) -> HdrHistogram:
+        if class_name not in self.answer_times:
+            self.answer_times[class_name] = HdrHistogram(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS)
+        return self.answer_times[class_name]
 
     async def run(self) -> None:
         """Sample the event loop delay until cancelled."""
@@ -51,7 +51,7 @@
             "process": self.process_id,
             "version": __version__,
             "counts": self.counts,
-            "answer_ms": {kind: _sparse(one) for kind, one in self.answer_times.items()},
+            "answer_ms": {class_name: _sparse(one) for class_name, one in self.answer_times.items()},
             "lag_ms": _sparse(self.lag),
             "faults": sum(log.counts[one] for one in FAULT_EVENTS),
         }
