--- a/seamlb/planning/__init__.py
+++ b/seamlb/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Plans made ahead: which desks open, which classes each is given, which share of the calls goes where."""
+"""Capacity planning: which desks open, which classes each desk handles, and how calls are distributed among them."""
--- a/seamlb/planning/draw.py
+++ b/seamlb/planning/draw.py
@@ -1,9 +1,10 @@
-"""A weighted draw that sticks: the same number called goes to the same desk while the weights allow it.
+"""Weighted rendezvous hashing: calls to the same number go to the same desk as long as the weights allow it.
 
-Weighted rendezvous hashing (Thaler and Ravishankar 1998; weights by the logarithm, Schindelhauer and Schomaker 2005):
-each desk draws an exponential variate from the number called and its own name, divided by its weight; the least wins.
-It holds no history, so all agents and every restart agree, and when weights change a number moves only to a desk that
-gained or from one that lost. `benchmarks/draws.py` measures it beside a plain cumulative table and an alias table.
+Thaler and Ravishankar 1998; logarithmic weights by Schindelhauer and Schomaker 2005. A hash of the called number and
+the desk's name gives an exponential variate per desk, divided by the desk's weight; the desk with the least wins.
+The selection is stateless, so all agents agree, also after a restart. When weights change, a number moves only to a
+desk whose weight grew or away from one whose weight shrank. `benchmarks/draws.py` compares it with a cumulative table
+and an alias table.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class RendezvousHash:
-    """Desks by weight; weights are any positive numbers, those of nought are never drawn."""
+    """Selects desks in proportion to their weights; desks with weight 0 are never selected."""
 
     __slots__ = ("desks", "weights")
 
@@ -28,11 +29,11 @@
         ]
 
     def pick(self, number: bytes) -> str | None:
-        """The desk of a number called; None without any desk."""
-        best, least = None, math.inf
+        """The desk for a called number; None if there are no desks."""
+        selected, least_score = None, math.inf
         for seed, scale, name in self.desks:
             uniform = (xxhash.xxh3_64_intdigest(number, seed) + 0.5) / HASH_RANGE
             score = -math.log(uniform) * scale
-            if score < least:
-                best, least = name, score
-        return best
+            if score < least_score:
+                selected, least_score = name, score
+        return selected
--- a/seamlb/planning/plan_files.py
+++ b/seamlb/planning/plan_files.py
@@ -1,4 +1,4 @@
-"""Plans as TOML files: read and checked whole, written in one order."""
+"""Plans as TOML files: decoding, and writing in a deterministic order."""
 
 from __future__ import annotations
 
@@ -17,64 +17,64 @@
     allowances_per_s,
     weights,
 )
-from seamlb.planning.tables import Figure, Name, Part, Table, Whole, decode_table
+from seamlb.planning.tables import Name, NonNegative, NonNegativeInt, Ratio, Table, decode_table
 from seamlb.store.files import DISK
 
 
 class PlacementTable(Table):
-    """`[[placement]]` of a plan file: the classes that a desk is given."""
+    """`[[placement]]` of a plan file: the classes placed at a desk."""
 
     desk: Name
     classes: list[Name]
 
 
 class RouteTable(Table):
-    """`[[route]]` of a plan file: what a desk carries of a class in a district."""
+    """`[[route]]` of a plan file: load of a class from a district that a desk carries."""
 
     class_: Name = msgspec.field(name="class")
     district: Name
     desk: Name
-    units: Whole
-    share: Part = 0.0  # of what is carried there; for people, the units count
+    units: NonNegativeInt
+    share: Ratio = 0.0  # of the load carried for class and district; informative, only the units are used
 
 
 class SupplyTable(Table):
-    """`[[supply]]` of a plan file: what an office gets, within its share and beyond."""
+    """`[[supply]]` of a plan file: carried units of an office, within its share and beyond it."""
 
     class_: Name = msgspec.field(name="class")
     district: Name
     office: Name
-    within: Whole
-    beyond: Whole
+    within: NonNegativeInt
+    beyond: NonNegativeInt
 
 
 class ObjectiveTable(Table):
-    """`[objective]` of a plan file, by part in the order of weight."""
+    """`[objective]` of a plan file, in order of priority."""
 
     worth: int
-    cost: Whole
-    distance: Whole
-    moves: Whole
+    cost: NonNegativeInt
+    distance: NonNegativeInt
+    moves: NonNegativeInt
 
 
 class PlanTable(Table):
-    """A whole plan file."""
+    """A complete plan file."""
 
     status: Literal["optimal", "stopped"]
-    problem: str  # digest of the problem it was made for
+    problem: str  # digest of the problem that it solves
     grain_milli_erlangs: Annotated[int, msgspec.Meta(gt=0)]
     objective: ObjectiveTable
     proven: list[str] = []
     bound: dict[str, float] = {}
-    nodes: Whole = 0
-    allowances: dict[str, Figure] = {}  # calls a second by office
+    nodes: NonNegativeInt = 0
+    allowances: dict[str, NonNegative] = {}  # calls per second by office
     placement: list[PlacementTable] = []
     supply: list[SupplyTable] = []
     route: list[RouteTable] = []
 
 
 def problem_digest(problem: Problem) -> str:
-    """Tells whether a plan was made for this very problem; the plan in force and the limit on moves are no part."""
+    """Identifies the problem that a plan solves; the plan in force and the limit on moves are not included."""
     parts = (
         sorted(problem.districts),
         sorted(problem.latencies_us.items()),
@@ -108,7 +108,7 @@
 
 
 def plan_text(problem: Problem, plan: Plan) -> str:
-    """The plan as TOML; the same plan always gives the same bytes."""
+    """The plan as TOML; equal plans give identical bytes."""
     lines = [
         f'status = "{plan.status}"',
         f'problem = "{problem_digest(problem)}"',
@@ -159,7 +159,7 @@
 
 
 def save_plan(path: str | Path, problem: Problem, plan: Plan) -> None:
-    """Write a plan whole or not at all: a reader never sees half of one."""
+    """Write a plan atomically, so that a reader never sees a partial file."""
     try:
         DISK.write_atomic(Path(path), plan_text(problem, plan).encode())
     except OSError as error:
@@ -167,27 +167,29 @@
 
 
 def load_plan(path: str | Path) -> Plan:
-    """Read a plan; it is not checked against any problem yet. Raises PlanningError with one line."""
+    """Read a plan without checking it against a problem. Raises PlanningError with a one-line message."""
     return read_plan_file(path)[0]
 
 
 def read_plan_file(path: str | Path) -> tuple[Plan, PlanTable]:
-    """The plan of a file beside the file's own tables."""
+    """Read a plan file; returns the plan and the decoded file."""
     path = Path(path)
     table = decode_table(path, PlanTable)
-    listed: list[tuple[str, list[tuple[str, ...]]]] = [
+    keys_by_table: list[tuple[str, list[tuple[str, ...]]]] = [
         ("placement", [(one.desk,) for one in table.placement]),
         ("route", [(r.class_, r.district, r.desk) for r in table.route]),
         ("supply", [(s.class_, s.district, s.office) for s in table.supply]),
     ]
-    for label, names in listed:
-        double = sorted({one for one in names if names.count(one) > 1})
-        if double:
-            raise PlanningError(f"{path}: {label}: {'/'.join(double[0])} is there twice")
+    for label, keys in keys_by_table:
+        duplicates = sorted({one for one in keys if keys.count(one) > 1})
+        if duplicates:
+            raise PlanningError(f"{path}: {label}: {'/'.join(duplicates[0])} is listed twice")
     placement = frozenset((one.desk, kind) for one in table.placement for kind in one.classes)
     flows = Flows(
         {(s.class_, s.district, s.office): (s.within, s.beyond) for s in table.supply},
         {(r.class_, r.district, r.desk): r.units for r in table.route},
     )
-    figures = Objective(table.objective.worth, table.objective.cost, table.objective.distance, table.objective.moves)
-    return Plan(placement, flows, figures, table.status, tuple(table.proven), table.bound, table.nodes), table
+    objective = Objective(
+        table.objective.worth, table.objective.cost, table.objective.distance, table.objective.moves
+    )
+    return Plan(placement, flows, objective, table.status, tuple(table.proven), table.bound, table.nodes), table
