--- a/seamlb/planning/carry.py
+++ b/seamlb/planning/carry.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from seamlb.planning.flow import INFINITE, Network, canonical, cheapest
+from seamlb.planning.flow import INFINITE, Network, canonicalize, min_cost_flow
 from seamlb.planning.model import PERMILLE, Cell, Flows, Placement, Problem
 
 
@@ -55,10 +55,10 @@
                 if (kind, district) in demand_nodes:
                     distance = problem.latency_us(district, problem.desk[desk].district)
                     routes[kind, district, desk] = network.arc(demand_nodes[kind, district], node, INFINITE, distance)
-    potential = cheapest(network, source, sink)
+    potential = min_cost_flow(network, source, sink)
     if exact:
         order = [arc for cell in problem.cells for arc in supply[cell]] + list(routes.values())
-        canonical(network, potential, order, (sink, source))
+        canonicalize(network, potential, order, (sink, source))
     return Flows(
         {cell: (network.flow(a), network.flow(b)) for cell, (a, b) in supply.items()},
         {route: network.flow(arc) for route, arc in routes.items()},
--- a/seamlb/planning/flow.py
+++ b/seamlb/planning/flow.py
@@ -1,8 +1,8 @@
-"""Exact integer flows: the cheapest through a network, and the canonical one among the cheapest.
+"""Exact integer min-cost flow, and the canonical flow among those of minimum cost.
 
-Successive shortest paths with potentials (Ahuja, Magnanti and Orlin, Network Flows, 1993, sections 9.7 and 10.2);
-costs are Python integers, so one cost can hold several objectives in lexicographic order. Serves the solver, which
-needs the flows of a fixed placement, and the repair, which has no solver at hand.
+Successive shortest paths with potentials (Ahuja, Magnanti and Orlin, Network Flows, 1993, sections 9.7 and 10.2).
+Costs are Python integers, so one cost can encode several objectives in lexicographic order. Used by the solver for
+the flows of a fixed placement, and by the repair, which runs without a solver.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True)
 class Network:
-    """A directed network; arc 2k is an arc as it was added, arc 2k+1 its reverse in the residual network."""
+    """A directed network; arc 2k is an added arc, arc 2k+1 its reverse in the residual network."""
 
     out: list[list[int]] = field(default_factory=list)
     head: list[int] = field(default_factory=list)
-    room: list[int] = field(default_factory=list)  # residual capacity
+    residual: list[int] = field(default_factory=list)  # residual capacity
     cost: list[int] = field(default_factory=list)
 
     def node(self) -> int:
@@ -28,87 +28,88 @@
         self.out.append([])
         return len(self.out) - 1
 
-    def arc(self, tail: int, head: int, room: int, cost: int = 0) -> int:
+    def arc(self, tail: int, head: int, capacity: int, cost: int = 0) -> int:
         """Add an arc; returns its number."""
         number = len(self.head)
         self.head += [head, tail]
-        self.room += [room, 0]
+        self.residual += [capacity, 0]
         self.cost += [cost, -cost]
         self.out[tail].append(number)
         self.out[head].append(number + 1)
         return number
 
     def flow(self, arc: int) -> int:
-        """What flows on an arc."""
-        return self.room[arc ^ 1]
+        """Flow on an arc."""
+        return self.residual[arc ^ 1]
 
     def push(self, arc: int, amount: int) -> None:
-        """Send more over an arc."""
-        self.room[arc] -= amount
-        self.room[arc ^ 1] += amount
+        """Increase the flow on an arc."""
+        self.residual[arc] -= amount
+        self.residual[arc ^ 1] += amount
 
 
-def _acyclic_potentials(net: Network, source: int) -> list[int]:
-    """Distances from the source along arcs with room, where these make no cycle of negative cost (Bellman-Ford)."""
-    far = [INFINITE] * len(net.out)
-    far[source] = 0
-    queue, waiting = deque([source]), {source}
+def _bellman_ford(net: Network, source: int) -> list[int]:
+    """Distances from the source along residual arcs, which must have no cycle of negative cost (Bellman-Ford)."""
+    distance = [INFINITE] * len(net.out)
+    distance[source] = 0
+    queue, queued = deque([source]), {source}
     while queue:
         tail = queue.popleft()
-        waiting.discard(tail)
-        base = far[tail]
+        queued.discard(tail)
+        tail_distance = distance[tail]
         for arc in net.out[tail]:
             head = net.head[arc]
-            if net.room[arc] and base + net.cost[arc] < far[head]:
-                far[head] = base + net.cost[arc]
-                if head not in waiting:
-                    waiting.add(head)
+            if net.residual[arc] and tail_distance + net.cost[arc] < distance[head]:
+                distance[head] = tail_distance + net.cost[arc]
+                if head not in queued:
+                    queued.add(head)
                     queue.append(head)
-    return far
+    return distance
 
 
-def cheapest(net: Network, source: int, sink: int) -> list[int]:
-    """Push from source to sink while that lowers the cost; returns potentials that prove the flow cheapest.
+def min_cost_flow(net: Network, source: int, sink: int) -> list[int]:
+    """Push flow from source to sink while that lowers the cost; returns potentials that prove the flow optimal.
 
-    The arcs with room must make no cycle of negative cost to begin with (a network without flow and without cycles,
-    or the outcome of an earlier call with arcs added or flow taken off).
+    Initially the residual arcs must have no cycle of negative cost: a network without flow and without cycles, or the
+    result of an earlier call with arcs added or flow removed.
     """
-    potential = _acyclic_potentials(net, source)
-    reach = max((p for p in potential if p < INFINITE), default=0)
-    potential = [p if p < INFINITE else reach for p in potential]
+    potential = _bellman_ford(net, source)
+    max_distance = max((p for p in potential if p < INFINITE), default=0)
+    potential = [p if p < INFINITE else max_distance for p in potential]
     while True:
-        far = _dijkstra(net, source, potential)
-        last = far[sink] if far[sink] < INFINITE else None
-        # Nodes out of reach move as far as the sink, which keeps every reduced cost at nought or above.
-        limit = last if last is not None else max((f for f in far if f < INFINITE), default=0)
-        potential = [p + min(f, limit) for p, f in zip(potential, far, strict=True)]
-        if last is None or potential[sink] - potential[source] >= 0:
+        distance = _dijkstra(net, source, potential)
+        sink_distance = distance[sink] if distance[sink] < INFINITE else None
+        # Unreachable nodes are moved as far as the sink, so that no reduced cost becomes negative.
+        limit = sink_distance if sink_distance is not None else max((d for d in distance if d < INFINITE), default=0)
+        potential = [p + min(d, limit) for p, d in zip(potential, distance, strict=True)]
+        if sink_distance is None or potential[sink] - potential[source] >= 0:
             return potential
         _augment(net, source, sink, potential)
 
 
 def _dijkstra(net: Network, source: int, potential: list[int]) -> list[int]:
-    far = [INFINITE] * len(net.out)
-    far[source] = 0
+    """Distances from the source by reduced cost."""
+    distance = [INFINITE] * len(net.out)
+    distance[source] = 0
     heap = [(0, source)]
-    head, room, cost = net.head, net.room, net.cost
+    head, residual, cost = net.head, net.residual, net.cost
     while heap:
-        at, tail = heapq.heappop(heap)
-        if at > far[tail]:
+        reduced_distance, tail = heapq.heappop(heap)
+        if reduced_distance > distance[tail]:
             continue
-        base = at + potential[tail]
+        tail_distance = reduced_distance + potential[tail]
         for arc in net.out[tail]:
-            if room[arc]:
-                there = head[arc]
-                new = base + cost[arc] - potential[there]
-                if new < far[there]:
-                    far[there] = new
-                    heapq.heappush(heap, (new, there))
-    return far
+            if residual[arc]:
+                head_node = head[arc]
+                head_distance = tail_distance + cost[arc] - potential[head_node]
+                if head_distance < distance[head_node]:
+                    distance[head_node] = head_distance
+                    heapq.heappush(heap, (head_distance, head_node))
+    return distance
 
 
 def _augment(net: Network, source: int, sink: int, potential: list[int]) -> None:
-    """All that fits along arcs of reduced cost nought: blocking flows by level (Dinic), until there is no path."""
+    """Push all flow that arcs of reduced cost zero admit: blocking flows by level (Dinic) until no path is left."""
     while True:
         level = [-1] * len(net.out)
         level[source] = 0
@@ -117,14 +118,14 @@
             tail = queue.popleft()
             for arc in net.out[tail]:
                 head = net.head[arc]
-                if net.room[arc] and level[head] < 0 and net.cost[arc] + potential[tail] == potential[head]:
+                if net.residual[arc] and level[head] < 0 and net.cost[arc] + potential[tail] == potential[head]:
                     level[head] = level[tail] + 1
                     queue.append(head)
         if level[sink] < 0:
             return
         tried = [0] * len(net.out)
         while path := _advance(net, source, sink, potential, level, tried):
-            amount = min(net.room[arc] for arc in path)
+            amount = min(net.residual[arc] for arc in path)
             for arc in path:
                 net.push(arc, amount)
 
@@ -132,61 +133,65 @@
 def _advance(
     net: Network, source: int, sink: int, potential: list[int], level: list[int], tried: list[int]
 ) -> list[int]:
-    """One path of the blocking flow, by depth first; an arc that leads nowhere is not tried again."""
+    """One path of the blocking flow by depth-first search; `tried` skips arcs that turned out to be dead ends."""
     path: list[int] = []
-    at = source
-    while at != sink:
-        arcs = net.out[at]
-        while tried[at] < len(arcs):
-            arc = arcs[tried[at]]
+    node = source
+    while node != sink:
+        arcs = net.out[node]
+        while tried[node] < len(arcs):
+            arc = arcs[tried[node]]
             head = net.head[arc]
-            if net.room[arc] and level[head] == level[at] + 1 and net.cost[arc] + potential[at] == potential[head]:
+            if (
+                net.residual[arc]
+                and level[head] == level[node] + 1
+                and net.cost[arc] + potential[node] == potential[head]
+            ):
                 path.append(arc)
-                at = head
+                node = head
                 break
-            tried[at] += 1
+            tried[node] += 1
         else:
             if not path:
                 return []
-            at = net.head[path.pop() ^ 1]
-            tried[at] += 1
+            node = net.head[path.pop() ^ 1]
+            tried[node] += 1
     return path
 
 
-def canonical(net: Network, potential: list[int], order: list[int], back: tuple[int, int]) -> None:
-    """Among the flows of least cost, the one whose flows along `order` come greatest, compared in that order.
+def canonicalize(net: Network, potential: list[int], order: list[int], back: tuple[int, int]) -> None:
+    """Change a flow of minimum cost into the one whose flows along `order` are lexicographically greatest.
 
-    A flow of least cost uses no residual arc but those of reduced cost nought, so any other one is reached along
-    cycles of such arcs. `back` is (sink, source): the flow through may change where that costs nothing.
+    Two flows of minimum cost differ only by cycles of residual arcs of reduced cost zero. `back` is (sink, source):
+    an arc between them closes the circulation, so that the total flow may change where that costs nothing.
     """
     sink, source = back
     through = sum(net.flow(arc) for arc in net.out[source] if not arc & 1)
-    net.room[net.arc(sink, source, INFINITE) ^ 1] = through  # closes the circulation
+    net.residual[net.arc(sink, source, INFINITE) ^ 1] = through  # closes the circulation
     tight = [net.cost[a] + potential[net.head[a ^ 1]] == potential[net.head[a]] for a in range(len(net.head))]
     component = _components(net, tight)
-    frozen = [False] * (len(net.head) // 2)
+    fixed = [False] * (len(net.head) // 2)
     for arc in order:
         tail, head = net.head[arc ^ 1], net.head[arc]
         if tight[arc] and component[tail] == component[head]:
-            while net.room[arc] and (path := _way(net, head, tail, tight, frozen, arc)):
-                amount = min(net.room[arc], *(net.room[one] for one in path))
-                for one in (arc, *path):
-                    net.push(one, amount)
-        frozen[arc // 2] = True
+            while net.residual[arc] and (path := _tight_path(net, head, tail, tight, fixed, arc)):
+                amount = min(net.residual[arc], *(net.residual[step] for step in path))
+                for step in (arc, *path):
+                    net.push(step, amount)
+        fixed[arc // 2] = True
 
 
-def _way(net: Network, source: int, sink: int, tight: list[bool], frozen: list[bool], arc: int) -> list[int]:
-    """A shortest path of tight arcs with room that are not fixed yet, other than `arc`; empty if there is none."""
+def _tight_path(net: Network, source: int, sink: int, tight: list[bool], fixed: list[bool], skip: int) -> list[int]:
+    """A shortest path of tight residual arcs without fixed flow, other than `skip`; empty if there is none."""
     via = {source: -1}
     queue = deque([source])
     while queue:
         tail = queue.popleft()
-        for one in net.out[tail]:
-            head = net.head[one]
-            if net.room[one] and tight[one] and not frozen[one // 2] and one // 2 != arc // 2 and head not in via:
-                via[head] = one
+        for arc in net.out[tail]:
+            head = net.head[arc]
+            if net.residual[arc] and tight[arc] and not fixed[arc // 2] and arc // 2 != skip // 2 and head not in via:
+                via[head] = arc
                 if head == sink:
-                    path = [one]
+                    path = [arc]
                     while (tail := net.head[path[-1] ^ 1]) != source:
                         path.append(via[tail])
                     return path
@@ -195,47 +200,47 @@
 
 
 def _components(net: Network, tight: list[bool]) -> list[int]:
-    """Strongly connected components of the tight arcs with room (Tarjan 1972, without recursion).
+    """Strongly connected components of the tight residual arcs (Tarjan 1972, without recursion).
 
-    Flows can only change inside one, which spares most arcs a search.
+    Flows can only change within a component, so that most arcs need no search for a cycle.
     """
     count = len(net.out)
     index, low, component = [-1] * count, [0] * count, [-1] * count
     stack: list[int] = []
-    visits = found = 0
+    visited = component_count = 0
     for root in range(count):
         if index[root] >= 0:
             continue
-        work = [(root, 0)]
-        while work:
-            node, place = work.pop()
-            if place == 0:
-                index[node] = low[node] = visits
-                visits += 1
+        frames = [(root, 0)]
+        while frames:
+            node, position = frames.pop()
+            if position == 0:
+                index[node] = low[node] = visited
+                visited += 1
                 stack.append(node)
-            arcs, deeper = net.out[node], False
-            while place < len(arcs):
-                arc = arcs[place]
-                place += 1
-                if not (net.room[arc] and tight[arc]):
+            arcs, descended = net.out[node], False
+            while position < len(arcs):
+                arc = arcs[position]
+                position += 1
+                if not (net.residual[arc] and tight[arc]):
                     continue
                 head = net.head[arc]
                 if index[head] < 0:
-                    work += [(node, place), (head, 0)]
-                    deeper = True
+                    frames += [(node, position), (head, 0)]
+                    descended = True
                     break
                 if component[head] < 0:
                     low[node] = min(low[node], index[head])
-            if deeper:
+            if descended:
                 continue
             if low[node] == index[node]:
                 while True:
-                    one = stack.pop()
-                    component[one] = found
-                    if one == node:
+                    member = stack.pop()
+                    component[member] = component_count
+                    if member == node:
                         break
-                found += 1
-            if work:
-                parent = work[-1][0]
+                component_count += 1
+            if frames:
+                parent = frames[-1][0]
                 low[parent] = min(low[parent], low[node])
     return component
--- a/seamlb/planning/repair.py
+++ b/seamlb/planning/repair.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from seamlb.planning.flow import INFINITE, Network, cheapest
+from seamlb.planning.flow import INFINITE, Network, min_cost_flow
 from seamlb.planning.model import PERMILLE, Plan, Problem
 
 
@@ -123,7 +123,7 @@
                             net.arc(wants[kind], here, INFINITE, 1),
                         )
                     )
-        cheapest(net, source, sink)
+        min_cost_flow(net, source, sink)
         return RepairedFlows(
             {(kind, desk): net.flow(a) + net.flow(b) for kind, desk, a, b in routes},
             sum(net.flow(arc) * value for arc, value in supply),
--- a/seamlb/planning/words.py
+++ b/seamlb/planning/words.py
@@ -1,4 +1,4 @@
-"""Plans and conflicts in the operator's words."""
+"""Text reports on plans and conflicts for operators."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def conflict_lines(problem: Problem, rules: Sequence[Rule]) -> list[str]:
-    """One line a rule of a conflict; facts about skills are told with the wish that they stand against."""
+    """One line per rule of a conflict; requirements on desks and districts also list the candidates by skill."""
     lines = []
     for rule in rules:
         match rule.topic, rule.about:
@@ -19,13 +19,13 @@
                 lines.append(f"no more than {problem.moves} moves from the plan in force are allowed")
             case "desks", (kind,):
                 lines.append(
-                    f"{kind} needs {problem.kind[kind].desks} desks{_survive(problem, kind)}; "
-                    f"{_may(problem, kind, by_district=False)}"
+                    f"{kind} needs {problem.kind[kind].desks} desks{_failure_condition(problem, kind)}; "
+                    f"{_candidates(problem, kind, by_district=False)}"
                 )
             case "districts", (kind,):
                 lines.append(
-                    f"{kind} needs {problem.kind[kind].districts} districts{_survive(problem, kind)}; "
-                    f"{_may(problem, kind, by_district=True)}"
+                    f"{kind} needs {problem.kind[kind].districts} districts{_failure_condition(problem, kind)}; "
+                    f"{_candidates(problem, kind, by_district=True)}"
                 )
             case "floor", (office,):
                 lines.append(f"{office} must have {problem.floors[office]} units carried")
@@ -42,114 +42,114 @@
     return lines
 
 
-def _survive(problem: Problem, kind: str) -> str:
-    how = problem.kind[kind].survive
-    return "" if how == "none" else f" when any one {how} is lost"
+def _failure_condition(problem: Problem, kind: str) -> str:
+    failure = problem.kind[kind].survive
+    return "" if failure == "none" else f" when any one {failure} is lost"
 
 
-def _may(problem: Problem, kind: str, by_district: bool) -> str:
-    desks = [d for d in problem.desks if problem.allowed(d, kind)]
-    names = sorted({d.district for d in desks} if by_district else {d.name for d in desks})
+def _candidates(problem: Problem, kind: str, by_district: bool) -> str:
+    candidates = [d for d in problem.desks if problem.allowed(d, kind)]
+    names = sorted({d.district for d in candidates} if by_district else {d.name for d in candidates})
     if not names:
-        return "nobody may have it"
+        return "no desk may have it"
     return f"only {', '.join(names)} may have it"
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """A plain table, right-aligned but for the first column."""
-    cells = [list(map(str, row)) for row in (head, *rows)]
-    wide = [max(len(row[place]) for row in cells) for place in range(len(head))]
+def table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
+    """A plain text table; all columns but the first are right-aligned."""
+    cells = [list(map(str, row)) for row in (header, *rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
     return [
         "  ".join(
-            text.ljust(w) if not place else text.rjust(w)
-            for place, (text, w) in enumerate(zip(row, wide, strict=True))
+            text.ljust(width) if not column else text.rjust(width)
+            for column, (text, width) in enumerate(zip(row, widths, strict=True))
         ).rstrip()
         for row in cells
     ]
 
 
-def show(problem: Problem, plan: Plan) -> list[str]:
-    """Which desks open, what each carries, what each class and office gets."""
-    figures, given = plan.objective, problem.classes_by_desk(plan.placement)
+def plan_report(problem: Problem, plan: Plan) -> list[str]:
+    """A report of the open desks and their load, and of the load carried by class and by office."""
+    objective, classes_by_desk = plan.objective, problem.classes_by_desk(plan.placement)
     lines = [
-        f"{plan.status}: worth {figures.worth}, cost {figures.cost}, distance {figures.distance}, "
-        f"moves {figures.moves}"
+        f"{plan.status}: worth {objective.worth}, cost {objective.cost}, distance {objective.distance}, "
+        f"moves {objective.moves}"
     ]
     load = dict.fromkeys(problem.desk, 0)
     for (_, _, desk), units in plan.flows.routes.items():
         load[desk] = load.get(desk, 0) + units
     rows: list[list[object]] = []
-    for name, facts in sorted(problem.desk.items()):
-        room = problem.capacity(name, given.get(name, ()))
+    for name, planned_desk in sorted(problem.desk.items()):
+        capacity = problem.capacity(name, classes_by_desk.get(name, ()))
         rows.append(
             [
                 name,
-                facts.district,
-                facts.agents,
+                planned_desk.district,
+                planned_desk.agents,
                 load[name] * problem.grain / PERMILLE,
-                room * problem.grain / PERMILLE,
-                facts.cost if name in given else 0,
-                ", ".join(given.get(name, ())) or "closed",
+                capacity * problem.grain / PERMILLE,
+                planned_desk.cost if name in classes_by_desk else 0,
+                ", ".join(classes_by_desk.get(name, ())) or "closed",
             ]
         )
     lines += ["", *table(["desk", "district", "agents", "erlangs", "room", "cost", "classes"], rows)]
-    carried: dict[str, list[int]] = {}
+    totals: dict[str, list[int]] = {}
     for (kind, _, office), units in problem.demand.items():
         for key in (kind, office):
-            carried.setdefault(key, [0, 0, 0])[0] += units
+            totals.setdefault(key, [0, 0, 0])[0] += units
     for (kind, _, office), (within, beyond) in plan.flows.supply.items():
         for key in (kind, office):
-            carried.setdefault(key, [0, 0, 0])[1] += within + beyond
-            carried[key][2] += within
+            totals.setdefault(key, [0, 0, 0])[1] += within + beyond
+            totals[key][2] += within
     rates = allowances_per_s(problem, plan.flows)
     for label, names in (("class", sorted(problem.kind)), ("office", sorted(o.name for o in problem.offices))):
         rows = []
         for name in names:
-            offered, all_of, full = carried.get(name, [0, 0, 0])
+            offered, carried, at_full_worth = totals.get(name, [0, 0, 0])
             row: list[object] = [
                 name,
-                *(one * problem.grain / PERMILLE for one in (offered, all_of, full)),
-                f"{100 * all_of / offered:.1f}" if offered else "-",
+                *(amount * problem.grain / PERMILLE for amount in (offered, carried, at_full_worth)),
+                f"{100 * carried / offered:.1f}" if offered else "-",
             ]
             rows.append(row + [f"{rates[name]:.3f}"] if label == "office" else row)
-        head = [label, "offered", "carried", "in full", "%"] + (["calls/s"] if label == "office" else [])
-        lines += ["", *table(head, rows)]
+        header = [label, "offered", "carried", "in full", "%"] + (["calls/s"] if label == "office" else [])
+        lines += ["", *table(header, rows)]
     return lines
 
 
-def slack(problem: Problem, plan: Plan) -> list[tuple[str, int, int]]:
-    """Every constraint: its name, what is used, what is left."""
-    given = problem.classes_by_desk(plan.placement)
-    out: list[tuple[str, int, int]] = []
+def constraint_slack(problem: Problem, plan: Plan) -> list[tuple[str, int, int]]:
+    """The name, the used amount and the slack of every constraint."""
+    classes_by_desk = problem.classes_by_desk(plan.placement)
+    entries: list[tuple[str, int, int]] = []
     if problem.budget is not None:
-        out.append(("budget", plan.objective.cost, problem.budget - plan.objective.cost))
+        entries.append(("budget", plan.objective.cost, problem.budget - plan.objective.cost))
     if problem.moves is not None and problem.current is not None:
-        out.append(("moves", plan.objective.moves, problem.moves - plan.objective.moves))
-    load = dict.fromkeys(given, 0)
+        entries.append(("moves", plan.objective.moves, problem.moves - plan.objective.moves))
+    load = dict.fromkeys(classes_by_desk, 0)
     for (_, _, desk), units in plan.flows.routes.items():
         load[desk] = load.get(desk, 0) + units
-    for name, kinds in given.items():
-        out.append((f"{name}: room", load[name], problem.capacity(name, kinds) - load[name]))
-        if most := problem.desk[name].most_classes:
-            out.append((f"{name}: classes", len(kinds), most - len(kinds)))
+    for name, kinds in classes_by_desk.items():
+        entries.append((f"{name}: room", load[name], problem.capacity(name, kinds) - load[name]))
+        if max_classes := problem.desk[name].most_classes:
+            entries.append((f"{name}: classes", len(kinds), max_classes - len(kinds)))
     for office in sorted(one.name for one in problem.offices):
         cells = [both for (_, _, name), both in plan.flows.supply.items() if name == office]
-        full, all_of = sum(a for a, _ in cells), sum(a + b for a, b in cells)
-        out.append((f"{office}: share", full, problem.allowances[office] - full))
+        at_full_worth, carried = sum(a for a, _ in cells), sum(a + b for a, b in cells)
+        entries.append((f"{office}: share", at_full_worth, problem.allowances[office] - at_full_worth))
         if floor := problem.floors[office]:
-            out.append((f"{office}: floor", all_of, all_of - floor))
+            entries.append((f"{office}: floor", carried, carried - floor))
     for kind in sorted(problem.kind):
-        stands = [name for name, kinds in given.items() if kind in kinds]
-        places = {problem.desk[name].district for name in stands}
-        if need := problem.kind[kind].desks:
-            out.append((f"{kind}: desks", len(stands), len(stands) - need))
-        if need := problem.kind[kind].districts:
-            out.append((f"{kind}: districts", len(places), len(places) - need))
-    return out
+        desks = [name for name, kinds in classes_by_desk.items() if kind in kinds]
+        districts = {problem.desk[name].district for name in desks}
+        if minimum := problem.kind[kind].desks:
+            entries.append((f"{kind}: desks", len(desks), len(desks) - minimum))
+        if minimum := problem.kind[kind].districts:
+            entries.append((f"{kind}: districts", len(districts), len(districts) - minimum))
+    return entries
 
 
-def difference(problem: Problem, old: Plan, new: Plan) -> list[str]:
-    """What changes from one plan to the other."""
+def plan_difference(problem: Problem, old: Plan, new: Plan) -> list[str]:
+    """The changes from the old plan to the new one, one line each."""
     lines = [
         f"{sign} {desk}: {kind}"
         for desk, kind in sorted(old.placement ^ new.placement)
@@ -157,12 +157,14 @@
     ]
     before, after = weights(problem, old.flows), weights(problem, new.flows)
     for pair in sorted(before.keys() | after.keys()):
-        a, b = before.get(pair, {}), after.get(pair, {})
-        for desk in sorted(a.keys() | b.keys()):
-            if a.get(desk, 0) != b.get(desk, 0):
-                lines.append(f"  {'/'.join(pair)} at {desk}: {a.get(desk, 0)} -> {b.get(desk, 0)} units")
+        old_units, new_units = before.get(pair, {}), after.get(pair, {})
+        for desk in sorted(old_units.keys() | new_units.keys()):
+            if old_units.get(desk, 0) != new_units.get(desk, 0):
+                lines.append(
+                    f"  {'/'.join(pair)} at {desk}: {old_units.get(desk, 0)} -> {new_units.get(desk, 0)} units"
+                )
     for key in ("worth", "cost", "distance", "moves"):
-        one, other = getattr(old.objective, key), getattr(new.objective, key)
-        if one != other:
-            lines.append(f"  {key}: {one} -> {other}")
+        before_value, after_value = getattr(old.objective, key), getattr(new.objective, key)
+        if before_value != after_value:
+            lines.append(f"  {key}: {before_value} -> {after_value}")
     return lines
