--- a/seamlb/planning/program.py
+++ b/seamlb/planning/program.py
@@ -1,8 +1,8 @@
-"""The mixed-integer program of a planning problem, as plain rows and columns; nothing here knows a solver.
+"""The mixed-integer program of a planning problem as rows and columns, independent of any solver.
 
-Columns: a desk open, a class placed, units routed and supplied. Only placements are whole by demand: with these fixed
-the rest is a network, whose best corners are whole by themselves. Rows that an operator can name carry a `Rule`, so
-that a conflict can be told in those words and rules can be left out one by one.
+Columns: desk open, class placed at a desk, units routed, units supplied. Only opening and placement columns need an
+integrality constraint: once they are fixed, the rest is a network flow, whose vertices are integral. Rows that
+enforce a rule refer to it (`Rule`), so that conflicts can be reported and rules can be left out one by one.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from seamlb.planning.model import PERMILLE, Placement, Problem
 
 INFINITE = float("inf")
-DIGIT = 100_000  # costs are told to the solver in digits of this base
-LOOSE = 1e-6  # what a limit on large sums is relaxed by for the solver; the exact sum is checked behind it
+RADIX = 100_000  # costs are passed to the solver as digits of this base
+BUDGET_SLACK = 1e-6  # relative relaxation of the budget for the solver; the exact sum is checked afterwards
 Terms = dict[int, float]
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Rule:
-    """Something an operator asked for."""
+    """A rule of the operator, or a fact about a desk, that can be part of a conflict."""
 
     topic: str  # pin, forbid, skill, agents, most, desks, districts, budget, moves, floor
-    about: tuple[str, ...] = ()
+    subject: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
@@ -39,25 +39,25 @@
 
 @dataclass(slots=True)
 class Program:
-    """Columns, rows, and what each column stands for."""
+    """Columns, rows, and the meaning of each column."""
 
     problem: Problem
     low: list[float] = field(default_factory=list)
     high: list[float] = field(default_factory=list)
-    whole: list[bool] = field(default_factory=list)
+    integer: list[bool] = field(default_factory=list)
     rows: list[Row] = field(default_factory=list)
     open: dict[str, int] = field(default_factory=dict)
     placed: dict[tuple[str, str], int] = field(default_factory=dict)  # desk, class
     routed: dict[tuple[str, str, str], int] = field(default_factory=dict)  # class, district or "", desk
     supplied: dict[tuple[str, str, str, int], int] = field(default_factory=dict)  # class, district, office, beyond
-    digits: tuple[int, int] | None = None  # columns of what the costs' lower digits add up to
-    stands: dict[int, list[int]] = field(default_factory=dict)  # a class in a district: placements that make it so
+    digits: tuple[int, int] | None = None  # columns of the sum of the costs' low digits: carry and rest
+    presence: dict[int, list[int]] = field(default_factory=dict)  # class present in district: its placement columns
 
-    def column(self, high: float, whole: bool = False) -> int:
-        """Add a variable from 0 to `high`; returns its number."""
+    def column(self, high: float, integer: bool = False) -> int:
+        """Add a variable with bounds 0 and `high`; returns its column number."""
         self.low.append(0.0)
         self.high.append(high)
-        self.whole.append(whole)
+        self.integer.append(integer)
         return len(self.low) - 1
 
     def row(
@@ -67,14 +67,14 @@
         self.rows.append(Row(dict(terms), low, high, rule))
 
     def placement(self, values: Iterable[float]) -> Placement:
-        """The placement that a solution's columns stand for."""
+        """The placement that a solution's column values represent."""
         value = list(values)
         return frozenset(pair for pair, column in self.placed.items() if value[column] > 0.5)
 
-    # -- objectives: terms to be maximised -----------------------------------------------------
+    # -- objectives: terms to maximise ---------------------------------------------------------
 
     def worth(self) -> Terms:
-        """The objective's first part: worth by variable."""
+        """The first stage of the objective: worth by column."""
         out = {}
         for (kind, _, _, beyond), column in self.supplied.items():
             value = self.problem.kind[kind].value
@@ -82,135 +82,135 @@
         return out
 
     def costs(self) -> list[tuple[Terms, int]]:
-        """The cost in digits, highest first, each with its weight.
+        """The cost as digits, highest first, each with its weight.
 
-        A solver's tolerances are relative: beside a desk of 10^9 it sees no difference of 1. The lower digits add up
-        to q * DIGIT + r, with whole q and r; the parts to be made small are then the higher digits with q, and r.
+        A solver's tolerances are relative: next to a cost of 10^9 it ignores a difference of 1. The low digits add up
+        to q * RADIX + r with integers q and r; the high digits plus q are minimised first, and then r.
         """
         cost = {column: self.problem.desk[name].cost for name, column in self.open.items()}
         if self.digits is None:
-            return [({column: -float(one) for column, one in cost.items()}, 1)]
-        carried, rest = self.digits
+            return [({column: -float(amount) for column, amount in cost.items()}, 1)]
+        carry, rest = self.digits
         return [
-            ({column: -float(one // DIGIT) for column, one in cost.items()} | {carried: -1.0}, DIGIT),
+            ({column: -float(amount // RADIX) for column, amount in cost.items()} | {carry: -1.0}, RADIX),
             ({rest: -1.0}, 1),
         ]
 
     def distance(self) -> Terms:
-        """Only where routes are kept by district."""
+        """Negative distance; requires routes by district."""
         return {
             column: -float(self.problem.latency_us(district, self.problem.desk[desk].district))
             for (_, district, desk), column in self.routed.items()
         }
 
     def moves(self) -> Terms:
-        """Less the constant of placements in force that are given up anyway."""
+        """The number of placements in force minus the number of moves."""
         current = self.problem.current or frozenset()
         return {column: 1.0 if pair in current else -1.0 for pair, column in self.placed.items()}
 
     def order(self, pairs: Iterable[tuple[str, str]]) -> Terms:
-        """Placements as the digits of a number: greatest first in the canonical order."""
+        """Placements as the bits of a number; the canonical order prefers the greatest."""
         columns = [self.placed[pair] for pair in pairs]
-        return {column: float(1 << (len(columns) - 1 - place)) for place, column in enumerate(columns)}
+        return {column: float(1 << (len(columns) - 1 - position)) for position, column in enumerate(columns)}
 
 
 def rules(problem: Problem) -> list[Rule]:
-    """All that an operator asked for and that can be in conflict, in a fixed order."""
-    out = [Rule("budget")] if problem.budget is not None else []
+    """All rules and facts that can be part of a conflict, in a fixed order."""
+    found = [Rule("budget")] if problem.budget is not None else []
     if problem.moves is not None and problem.current is not None:
-        out.append(Rule("moves"))
+        found.append(Rule("moves"))
     for kind in sorted(problem.kind):
-        out += [Rule("desks", (kind,))] if problem.kind[kind].desks else []
-        out += [Rule("districts", (kind,))] if problem.kind[kind].districts else []
+        found += [Rule("desks", (kind,))] if problem.kind[kind].desks else []
+        found += [Rule("districts", (kind,))] if problem.kind[kind].districts else []
     for office in sorted(one.name for one in problem.offices):
-        out += [Rule("floor", (office,))] if problem.floors[office] else []
+        found += [Rule("floor", (office,))] if problem.floors[office] else []
     for name, desk in sorted(problem.desk.items()):
-        out += [Rule("pin", (name, kind)) for kind in sorted(desk.pinned)]
-        out += [Rule("forbid", (name, kind)) for kind in sorted(desk.forbidden)]
-        out += [Rule("skill", (name, kind)) for kind in sorted(problem.kind.keys() - desk.skills)]
-        out += [Rule("agents", (name,))] if desk.agents == 0 else []
-        out += [Rule("most", (name,))] if desk.most_classes else []
-    return out
+        found += [Rule("pin", (name, kind)) for kind in sorted(desk.pinned)]
+        found += [Rule("forbid", (name, kind)) for kind in sorted(desk.forbidden)]
+        found += [Rule("skill", (name, kind)) for kind in sorted(problem.kind.keys() - desk.skills)]
+        found += [Rule("agents", (name,))] if desk.agents == 0 else []
+        found += [Rule("most", (name,))] if desk.most_classes else []
+    return found
 
 
-def build(problem: Problem, by_district: bool, without: Collection[Rule] = ()) -> Program:
-    """The program with every rule but those in `without`.
+def build(problem: Problem, by_district: bool, excluded: Collection[Rule] = ()) -> Program:
+    """The program with all rules except those in `excluded`.
 
-    Distances alone need routes by district; worth and cost don't, and are much smaller without.
+    Only distance needs routes by district; without districts the program is much smaller.
     """
     program = Program(problem)
     kinds, desks = sorted(problem.kind), sorted(problem.desk)
     demand: dict[tuple[str, str], int] = defaultdict(int)
     for kind, district, _ in problem.cells:
         demand[kind, district if by_district else ""] += problem.demand[kind, district, _]
-    wanted: dict[str, int] = defaultdict(int)
+    class_demand: dict[str, int] = defaultdict(int)
     for (kind, _), units in demand.items():
-        wanted[kind] += units
+        class_demand[kind] += units
     for name in desks:
-        program.open[name] = program.column(1.0, whole=True)
+        program.open[name] = program.column(1.0, integer=True)
         for kind in kinds:
-            program.placed[name, kind] = program.column(1.0, whole=True)
+            program.placed[name, kind] = program.column(1.0, integer=True)
     for (kind, district), units in sorted(demand.items()):
         for name in desks:
-            if top := min(problem.class_capacities[name, kind], units):
-                program.routed[kind, district, name] = program.column(float(top))
+            if capacity := min(problem.class_capacities[name, kind], units):
+                program.routed[kind, district, name] = program.column(float(capacity))
     for kind, district, office in problem.cells:
         for beyond in (0, 1):
             units = problem.demand[kind, district, office]
             program.supplied[kind, district, office, beyond] = program.column(float(units))
-    if max((desk.cost for desk in problem.desks), default=0) >= DIGIT:
-        program.digits = (program.column(float(len(desks)), whole=True), program.column(DIGIT - 1.0, whole=True))
-        low = {program.open[name]: float(problem.desk[name].cost % DIGIT) for name in desks}
-        program.row(low | {program.digits[0]: -float(DIGIT), program.digits[1]: -1.0}, 0.0, 0.0)
-    _flows(program, demand, by_district)
+    if max((desk.cost for desk in problem.desks), default=0) >= RADIX:
+        program.digits = (program.column(float(len(desks)), integer=True), program.column(RADIX - 1.0, integer=True))
+        low_digits = {program.open[name]: float(problem.desk[name].cost % RADIX) for name in desks}
+        program.row(low_digits | {program.digits[0]: -float(RADIX), program.digits[1]: -1.0}, 0.0, 0.0)
+    _flow_rows(program, demand, by_district)
     for name in desks:
-        _desk(program, name, kinds, wanted, by_district)
-    _asked(program, frozenset(without))
-    _alike(program, without)
+        _desk_rows(program, name, kinds, class_demand, by_district)
+    _rule_rows(program, frozenset(excluded))
+    _break_symmetry(program, excluded)
     return program
 
 
-def _flows(program: Program, demand: Mapping[tuple[str, str], int], by_district: bool) -> None:
+def _flow_rows(program: Program, demand: Mapping[tuple[str, str], int], by_district: bool) -> None:
     problem = program.problem
-    arrives: dict[tuple[str, str], Terms] = {pair: {} for pair in demand}
-    within: dict[str, Terms] = defaultdict(dict)
+    balance: dict[tuple[str, str], Terms] = {pair: {} for pair in demand}
+    within_share: dict[str, Terms] = defaultdict(dict)
     for (kind, district, office, beyond), column in program.supplied.items():
-        arrives[kind, district if by_district else ""][column] = 1.0
+        balance[kind, district if by_district else ""][column] = 1.0
         if beyond:
-            both = {column: 1.0, program.supplied[kind, district, office, 0]: 1.0}
-            program.row(both, high=problem.demand[kind, district, office])
+            carried = {column: 1.0, program.supplied[kind, district, office, 0]: 1.0}
+            program.row(carried, high=problem.demand[kind, district, office])
         else:
-            within[office][column] = 1.0
+            within_share[office][column] = 1.0
     for (kind, district, _), column in program.routed.items():
-        arrives[kind, district][column] = -1.0
-    for terms in arrives.values():
+        balance[kind, district][column] = -1.0
+    for terms in balance.values():
         program.row(terms, 0.0, 0.0)
-    for office, terms in within.items():
+    for office, terms in within_share.items():
         program.row(terms, high=problem.allowances[office])
 
 
-def _desk(program: Program, name: str, kinds: list[str], wanted: Mapping[str, int], by_district: bool) -> None:
+def _desk_rows(program: Program, name: str, kinds: list[str], demand: Mapping[str, int], by_district: bool) -> None:
     problem = program.problem
-    top = max(problem.class_capacities[name, kind] for kind in kinds)
-    here = _by_kind(program, name, sorted(problem.districts) if by_district else [""])
-    load = {column: 1.0 for columns in here.values() for column in columns}
+    max_capacity = max(problem.class_capacities[name, kind] for kind in kinds)
+    columns_by_class = _routes_by_class(program, name, sorted(problem.districts) if by_district else [""])
+    load = {column: 1.0 for columns in columns_by_class.values() for column in columns}
     opened = program.open[name]
     if load:
-        program.row(load | {opened: -float(top)}, high=0.0)
+        program.row(load | {opened: -float(max_capacity)}, high=0.0)
     for kind in kinds:
         placed, cap = program.placed[name, kind], problem.class_capacities[name, kind]
         program.row({placed: 1.0, opened: -1.0}, high=0.0)
-        if columns := here.get(kind):
-            program.row(dict.fromkeys(columns, 1.0) | {placed: -float(min(cap, wanted[kind]))}, high=0.0)
+        if columns := columns_by_class.get(kind):
+            program.row(dict.fromkeys(columns, 1.0) | {placed: -float(min(cap, demand[kind]))}, high=0.0)
             if by_district:
                 for column in columns:
                     program.row({column: 1.0, placed: -program.high[column]}, high=0.0)
-        if load and cap < top:  # the strictest class given rules the whole desk
-            program.row(load | {placed: float(top - cap)}, high=float(top))
+        if load and cap < max_capacity:  # the strictest class placed limits the whole desk
+            program.row(load | {placed: float(max_capacity - cap)}, high=float(max_capacity))
     program.row({opened: 1.0} | {program.placed[name, kind]: -1.0 for kind in kinds}, high=0.0)
 
 
-def _by_kind(program: Program, name: str, districts: list[str]) -> dict[str, list[int]]:
+def _routes_by_class(program: Program, name: str, districts: list[str]) -> dict[str, list[int]]:
     out: dict[str, list[int]] = defaultdict(list)
     for kind in program.problem.kind:
         for district in districts:
@@ -219,63 +219,63 @@
     return out
 
 
-def _asked(program: Program, without: frozenset[Rule]) -> None:
-    """The rules that an operator can name."""
+def _rule_rows(program: Program, excluded: frozenset[Rule]) -> None:
+    """Add the rows of all rules that are not excluded."""
     problem = program.problem
     current = problem.current or frozenset()
     for rule in rules(problem):
-        if rule in without:
+        if rule in excluded:
             continue
         match rule.topic:
             case "budget":
                 terms = {c: float(problem.desk[d].cost) for d, c in program.open.items() if problem.desk[d].cost}
-                program.row(terms, high=(problem.budget or 0) * (1 + LOOSE), rule=rule)
+                program.row(terms, high=(problem.budget or 0) * (1 + BUDGET_SLACK), rule=rule)
             case "moves":
-                kept = sum(pair in current for pair in program.placed)
+                base = sum(pair in current for pair in program.placed)
                 program.row(
-                    {c: -v for c, v in program.moves().items()}, high=float((problem.moves or 0) - kept), rule=rule
+                    {c: -v for c, v in program.moves().items()}, high=float((problem.moves or 0) - base), rule=rule
                 )
             case "desks":
-                _desks(program, rule)
+                _desk_minimum_rows(program, rule)
             case "districts":
-                _districts(program, rule)
+                _district_minimum_rows(program, rule)
             case "floor":
-                terms = {c: 1.0 for (_, _, o, _), c in program.supplied.items() if o == rule.about[0]}
-                program.row(terms, low=float(problem.floors[rule.about[0]]), rule=rule)
+                terms = {c: 1.0 for (_, _, o, _), c in program.supplied.items() if o == rule.subject[0]}
+                program.row(terms, low=float(problem.floors[rule.subject[0]]), rule=rule)
             case "pin":
-                program.row({program.placed[rule.about[0], rule.about[1]]: 1.0}, low=1.0, rule=rule)
+                program.row({program.placed[rule.subject[0], rule.subject[1]]: 1.0}, low=1.0, rule=rule)
             case "forbid" | "skill":
-                program.row({program.placed[rule.about[0], rule.about[1]]: 1.0}, high=0.0, rule=rule)
+                program.row({program.placed[rule.subject[0], rule.subject[1]]: 1.0}, high=0.0, rule=rule)
             case "agents":
-                program.row({program.open[rule.about[0]]: 1.0}, high=0.0, rule=rule)
+                program.row({program.open[rule.subject[0]]: 1.0}, high=0.0, rule=rule)
             case "most":
-                terms = {program.placed[rule.about[0], kind]: 1.0 for kind in problem.kind}
-                program.row(terms, high=float(problem.desk[rule.about[0]].most_classes), rule=rule)
+                terms = {program.placed[rule.subject[0], kind]: 1.0 for kind in problem.kind}
+                program.row(terms, high=float(problem.desk[rule.subject[0]].most_classes), rule=rule)
 
 
-def _desks(program: Program, rule: Rule) -> None:
-    problem, kind = program.problem, program.problem.kind[rule.about[0]]
-    for away in _losses(problem, kind.survive):
-        terms = {program.placed[d, kind.name]: 1.0 for d in sorted(problem.desk) if d not in away}
+def _desk_minimum_rows(program: Program, rule: Rule) -> None:
+    problem, kind = program.problem, program.problem.kind[rule.subject[0]]
+    for lost_desks in _failure_sets(problem, kind.survive):
+        terms = {program.placed[d, kind.name]: 1.0 for d in sorted(problem.desk) if d not in lost_desks}
         program.row(terms, low=float(kind.desks), rule=rule)
 
 
-def _districts(program: Program, rule: Rule) -> None:
-    problem, kind = program.problem, program.problem.kind[rule.about[0]]
-    for away in _losses(problem, kind.survive):
-        stands = {}
+def _district_minimum_rows(program: Program, rule: Rule) -> None:
+    problem, kind = program.problem, program.problem.kind[rule.subject[0]]
+    for lost_desks in _failure_sets(problem, kind.survive):
+        present = {}
         for district in sorted(problem.districts):
-            there = [d.name for d in problem.desks if d.district == district and d.name not in away]
-            if there:  # at most one, however many desks stand there
+            desks = [d.name for d in problem.desks if d.district == district and d.name not in lost_desks]
+            if desks:  # the column is at most 1, however many desks of the district have the class
                 column = program.column(1.0)
-                stands[column] = 1.0
-                program.stands[column] = [program.placed[d, kind.name] for d in sorted(there)]
-                program.row({column: 1.0} | dict.fromkeys(program.stands[column], -1.0), high=0.0)
-        program.row(stands, low=float(kind.districts), rule=rule)
+                present[column] = 1.0
+                program.presence[column] = [program.placed[d, kind.name] for d in sorted(desks)]
+                program.row({column: 1.0} | dict.fromkeys(program.presence[column], -1.0), high=0.0)
+        program.row(present, low=float(kind.districts), rule=rule)
 
 
-def _losses(problem: Problem, survive: str) -> list[frozenset[str]]:
-    """The sets of desks of which any one may be lost; the empty one for no loss."""
+def _failure_sets(problem: Problem, survive: str) -> list[frozenset[str]]:
+    """The sets of desks whose loss must be survived, one at a time; the empty set is normal operation."""
     if survive == "desk":
         return [frozenset()] + [frozenset((name,)) for name in sorted(problem.desk)]
     if survive == "district":
@@ -285,14 +285,14 @@
     return [frozenset()]
 
 
-def _alike(program: Program, without: Collection[Rule]) -> None:
-    """Of desks that differ by name only, an earlier one gets the greater placement.
+def _break_symmetry(program: Program, excluded: Collection[Rule]) -> None:
+    """Symmetry breaking: among desks that differ only by name, an earlier one gets the greater placement.
 
-    Swapping two of them changes nothing but the canonical order, in which the greater comes first: no plan that could
-    be the answer is cut off, and the search needn't try the others.
+    Swapping two of them only changes the canonical order, which prefers the greater placement first: the optimal plan
+    is never excluded, and the search space is smaller.
     """
-    if without:
-        return  # rules that are left out may tell such desks apart
+    if excluded:
+        return  # excluded rules may make such desks differ
     problem, kinds = program.problem, sorted(program.problem.kind)
     current = problem.current or frozenset()
     groups: dict[object, list[str]] = defaultdict(list)
@@ -311,9 +311,9 @@
             tuple((name, k) in current for k in kinds),
         ].append(name)
     for names in groups.values():
-        for one, other in zip(names, names[1:], strict=False):
+        for first, second in zip(names, names[1:], strict=False):
             terms = {}
-            for place, kind in enumerate(kinds):
-                size = float(1 << (len(kinds) - 1 - place))
-                terms[program.placed[one, kind]], terms[program.placed[other, kind]] = -size, size
+            for position, kind in enumerate(kinds):
+                weight = float(1 << (len(kinds) - 1 - position))
+                terms[program.placed[first, kind]], terms[program.placed[second, kind]] = -weight, weight
             program.row(terms, high=0.0)
--- a/seamlb/planning/words.py
+++ b/seamlb/planning/words.py
@@ -12,7 +12,7 @@
     """One line per rule of a conflict; requirements on desks and districts also list the candidates by skill."""
     lines = []
     for rule in rules:
-        match rule.topic, rule.about:
+        match rule.topic, rule.subject:
             case "budget", _:
                 lines.append(f"the budget is {problem.budget}")
             case "moves", _:
