--- a/seamlb/planning/follow.py
+++ b/seamlb/planning/follow.py
@@ -1,15 +1,15 @@
-"""Follows a plan while the world differs from it: what the daemon's calls are steered by, without I/O or a clock.
+"""Steers the daemon's calls by a plan, and adapts to desks that differ from it; without I/O or a clock.
 
 `PlanFollower` receives the desk list and desks' reports, and is stepped periodically. For each class it keeps the
 shares by which a call's first choice is selected. The decision module gets that choice, the classes' pools and the
 offices' allowances as its inputs and still decides every send and refusal. docs/operators/planning.md has the rules:
 
-- a desk that drains or is gone is not drawn from that moment on; what it had goes to the repair's desks at once
-- a desk that comes back is used after it stayed for a while, longer each time it flaps
-- a cold desk gets what its processor has grown to; a desk that stays full gets nothing beyond its planned part
-- shares move towards the repair's by a bounded step; small differences are left alone
-- a class of whose desks none is listed is drawn among the listed desks that the settings allow it
-- a plan past its end steers no call: first choices are the settings' again
+- a desk that drains or leaves the list is not selected any more; its share moves to the repair's desks at once
+- a desk that returns is used after it has been ready for a while, longer each time it flaps
+- a cold desk gets what its capacity ramp allows; a desk that stays full gets no more than its planned share
+- shares move towards those of the repair in bounded steps; small differences are ignored
+- a class without a listed desk of the plan is distributed among the listed desks that the settings allow for it
+- an expired plan steers no calls: first choices are those of the requests again
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from seamlb.planning.model import Plan, Problem, allowances_per_s
 from seamlb.planning.repair import DeskState, Repair, WarmUp, capacities, district_shares, permille, step_towards
 
-STEP_INTERVAL_MS = 500.0  # between two steps of the shares
-MAX_STEP_PERMILLE = 50  # permille of a class's calls that a step moves; what a lost desk had comes on top
-DEADBAND_PERMILLE = 20  # permille: a goal nearer than this is left alone
-SETTLE_MS = 2000.0  # a desk must have stayed so long before it is used again
+STEP_INTERVAL_MS = 500.0  # minimum time between two steps of the shares
+MAX_STEP_PERMILLE = 50  # of a class's calls per step, in addition to the shares of removed desks
+DEADBAND_PERMILLE = 20  # smaller differences between shares in use and goal are ignored
+SETTLE_MS = 2000.0  # a returned desk must be ready for this long before it is used again
 MAX_SETTLE_MS = 32_000.0
-FLAP_RESET_MS = 60_000.0  # a desk that stayed so long has its flaps forgotten
-FULL_AFTER_MS = 1000.0  # told full for so long counts
+FLAP_RESET_MS = 60_000.0  # a desk that was ready for this long starts with no flaps
+FULL_AFTER_MS = 1000.0  # a desk is full when it has reported no idle agents for this long
 
 
 @dataclass(slots=True, frozen=True)
 class FollowedPlan:
-    """A plan to be followed, checked whole, and where this agent stands."""
+    """A validated plan to follow, and the district of this agent."""
 
     problem: Problem
     plan: Plan
@@ -44,11 +44,11 @@
 
 
 class ListedDesk(Protocol):
-    """A desk as the list has it."""
+    """A desk in the desk list."""
 
     @property
     def ident(self) -> str:
-        """The server's name."""
+        """The desk's name."""
 
     @property
     def cell(self) -> int:
@@ -56,7 +56,7 @@
 
     @property
     def availability(self) -> int:
-        """What the list says of it."""
+        """Its availability according to the list."""
 
     @property
     def since_ms(self) -> float:
@@ -65,205 +65,205 @@
 
 @dataclass(slots=True)
 class DeskRecord:
-    """What is remembered of a desk, listed or not."""
+    """State kept for a desk, whether listed or not; times are Unix milliseconds."""
 
     cell: int = -1
     ready: bool = False
-    came: float = -math.inf  # when it last became ready
-    since: float = 0.0  # processor's start, as listed
+    ready_since: float = -math.inf  # when it last became ready
+    started_ms: float = 0.0  # start of its process as listed
     flaps: int = 0
-    idle_zero: float = math.inf  # since when it tells that no agent is free
+    no_idle_since: float = math.inf  # since when it has reported no idle agents
 
-    def settle(self) -> float:
-        """Milliseconds that it must be well before it counts again; longer with each relapse."""
+    def settle_ms(self) -> float:
+        """Time in ms that it must be ready before it is used again; doubles with each flap."""
         return min(MAX_SETTLE_MS, SETTLE_MS * 2.0 ** max(0, self.flaps - 1)) if self.flaps else 0.0
 
 
 @dataclass(slots=True)
 class ClassShares:
-    """Shares of one class: in use, aimed at, and the draw of those in use."""
+    """Shares of one class in permille: in use and desired, and the selector for those in use."""
 
-    now: dict[str, int] = field(default_factory=dict)
+    current: dict[str, int] = field(default_factory=dict)
     goal: dict[str, int] = field(default_factory=dict)
-    draw: RendezvousHash = field(default_factory=lambda: RendezvousHash({}))
+    selector: RendezvousHash = field(default_factory=lambda: RendezvousHash({}))
 
     def use(self, shares: dict[str, int]) -> None:
-        """Draw by these shares from now on."""
-        if shares != self.now:
-            self.now, self.draw = shares, RendezvousHash(shares)
+        """Replace the shares in use."""
+        if shares != self.current:
+            self.current, self.selector = shares, RendezvousHash(shares)
 
 
 class PlanFollower:
-    """Steers first choices by a plan; every method takes the clock time in milliseconds first."""
+    """Steers first choices by a plan; the first argument of every method is the clock time in milliseconds."""
 
     def __init__(self, settings: api.Settings, offices: tuple[str, ...]) -> None:
-        self.settings = settings  # the daemon's own, before any plan
+        self.settings = settings  # the daemon's own, without a plan
         self.offices = offices
         self.classes = {kind.name: kind for kind in settings.classes}
-        self.cold = WarmUp(settings.contract.start_capacity, max(1.0, settings.contract.cold))
+        self.warm_up = WarmUp(settings.contract.start_capacity, max(1.0, settings.contract.cold))
         self.followed: FollowedPlan | None = None
-        self.mender: Repair | None = None
+        self.repair: Repair | None = None
         self.desks: dict[str, DeskRecord] = {}
-        self.steering: dict[str, ClassShares] = {}
-        self.stepped = -math.inf
-        self.pending_events: list[tuple[str, dict[str, object]]] = []  # log lines: event and facts
-        self.told: set[tuple[str, str]] = set()  # what was logged already
-        self.others: dict[str, RendezvousHash] = {}  # draws for classes that the plan can't place now
+        self.class_shares: dict[str, ClassShares] = {}
+        self.last_step = -math.inf
+        self.pending_events: list[tuple[str, dict[str, object]]] = []  # log events: name and fields
+        self.logged: set[tuple[str, str]] = set()  # events that were logged already
+        self.fallbacks: dict[str, RendezvousHash] = {}  # selectors for classes that the plan cannot place now
 
     # -- the plan -----------------------------------------------------------------------------
 
     def set_plan(self, now: float, followed: FollowedPlan | None) -> None:
-        """Follow another plan from now on, or none; the shares in use go over to it whole."""
+        """Follow another plan from now on, or none; the shares in use are replaced at once."""
         self.followed = followed
-        self.mender = Repair(followed.problem, followed.plan) if followed else None
-        self.told.clear()
-        self.steering = {}
+        self.repair = Repair(followed.problem, followed.plan) if followed else None
+        self.logged.clear()
+        self.class_shares = {}
         if followed:
-            self.steering = {kind.name: ClassShares() for kind in followed.problem.kinds}
-            self._aim(now)
-            for one in self.steering.values():
-                one.use(dict(one.goal))
-            self._missing()
-        self.others.clear()
+            self.class_shares = {kind.name: ClassShares() for kind in followed.problem.kinds}
+            self._update_goals(now)
+            for shares in self.class_shares.values():
+                shares.use(dict(shares.goal))
+            self._log_missing_desks()
+        self.fallbacks.clear()
 
     def active(self, now: float) -> FollowedPlan | None:
-        """The plan that steers now; one past its end is told of once."""
+        """The plan that steers calls now; the expiry of a plan is logged once."""
         if self.followed and now >= self.followed.until_ms:
-            self._tell("plan_stale", "")
+            self._log_once("plan_stale", "")
             return None
         return self.followed
 
-    def _tell(self, event: str, about: str, **facts: object) -> None:
-        if (event, about) not in self.told:
-            self.told.add((event, about))
-            self.pending_events.append((event, facts))
+    def _log_once(self, event: str, subject: str, **fields: object) -> None:
+        if (event, subject) not in self.logged:
+            self.logged.add((event, subject))
+            self.pending_events.append((event, fields))
 
-    def _missing(self) -> None:
-        """Tell once of planned desks that the list does not have."""
+    def _log_missing_desks(self) -> None:
+        """Log once which planned desks are not ready in the list."""
         assert self.followed is not None
-        names = {desk for desk, _ in self.followed.plan.placement}
-        lost = sorted(name for name in names if name not in self.desks or not self.desks[name].ready)
-        if lost:
-            self._tell("plan_desks_missing", ",".join(lost), desks=lost)
+        planned = {desk for desk, _ in self.followed.plan.placement}
+        missing = sorted(name for name in planned if name not in self.desks or not self.desks[name].ready)
+        if missing:
+            self._log_once("plan_desks_missing", ",".join(missing), desks=missing)
 
-    # -- what is told ---------------------------------------------------------------------------
+    # -- inputs from the agent ------------------------------------------------------------------
 
     def update_desks(self, now: float, desks: Iterable[ListedDesk]) -> None:
-        """The whole list as it is now."""
-        present = {one.ident: one for one in desks}
+        """Take the complete current list."""
+        present = {desk.ident: desk for desk in desks}
         changed = False
-        for name, seen in self.desks.items():
-            if seen.ready and (name not in present or present[name].availability != api.Availability.READY):
-                seen.ready = False
-                seen.flaps = seen.flaps + 1 if now - seen.came < FLAP_RESET_MS else 1
+        for name, record in self.desks.items():
+            if record.ready and (name not in present or present[name].availability != api.Availability.READY):
+                record.ready = False
+                record.flaps = record.flaps + 1 if now - record.ready_since < FLAP_RESET_MS else 1
                 changed = True
-        for name, one in present.items():
-            fresh = name not in self.desks
-            seen = self.desks.setdefault(name, DeskRecord())
-            changed = changed or seen.cell != one.cell or seen.since != one.since_ms
-            seen.cell, seen.since = one.cell, one.since_ms
-            if one.availability == api.Availability.READY and not seen.ready:
-                seen.ready, seen.came = True, -math.inf if fresh else now
+        for name, desk in present.items():
+            is_new = name not in self.desks
+            record = self.desks.setdefault(name, DeskRecord())
+            changed = changed or record.cell != desk.cell or record.started_ms != desk.since_ms
+            record.cell, record.started_ms = desk.cell, desk.since_ms
+            if desk.availability == api.Availability.READY and not record.ready:
+                record.ready, record.ready_since = True, -math.inf if is_new else now
                 changed = True
         planned = {d for d, _ in self.followed.plan.placement} if self.followed else set()
-        for name in [n for n, seen in self.desks.items() if n not in present and n not in planned]:
-            del self.desks[name]  # desks are replaced all day
+        for name in [n for n, record in self.desks.items() if n not in present and n not in planned]:
+            del self.desks[name]  # bounds the memory: desks are replaced all day under new names
         if changed:
-            self.others.clear()
+            self.fallbacks.clear()
             if self.followed:
-                self._aim(now)
+                self._update_goals(now)
                 self._step(now, 0)
-                self._missing()
+                self._log_missing_desks()
 
     def report_idle_agents(self, now: float, desk: str, idle: float) -> None:
-        """A desk told how many agents are free."""
-        if (seen := self.desks.get(desk)) is None:
+        """Take the number of idle agents that a desk reported."""
+        if (record := self.desks.get(desk)) is None:
             return
         if idle > 0:
-            seen.idle_zero = math.inf
-        elif seen.idle_zero == math.inf:
-            seen.idle_zero = now
+            record.no_idle_since = math.inf
+        elif record.no_idle_since == math.inf:
+            record.no_idle_since = now
 
     def step(self, now: float) -> None:
-        """Move the shares in use a bounded step; call it at least every STEP_INTERVAL_MS."""
-        if self.active(now) is None or now - self.stepped < STEP_INTERVAL_MS:
+        """Move the shares in use by a bounded step; call it at least every STEP_INTERVAL_MS."""
+        if self.active(now) is None or now - self.last_step < STEP_INTERVAL_MS:
             return
-        self._aim(now)
+        self._update_goals(now)
         self._step(now, MAX_STEP_PERMILLE)
-        self.stepped = now
+        self.last_step = now
 
     # -- shares ---------------------------------------------------------------------------------
 
     def _state(self, now: float, name: str) -> DeskState:
-        seen = self.desks.get(name)
-        if seen is None or not seen.ready:
+        record = self.desks.get(name)
+        if record is None or not record.ready:
             return DeskState(listed=False)
-        if now - seen.came < seen.settle():
+        if now - record.ready_since < record.settle_ms():
             return DeskState(listed=False)
-        if now - seen.came >= FLAP_RESET_MS:
-            seen.flaps = 0
-        cold = now - seen.since if seen.since > 0 else -1.0
-        return DeskState(cold_ms=cold, full=now - seen.idle_zero >= FULL_AFTER_MS)
+        if now - record.ready_since >= FLAP_RESET_MS:
+            record.flaps = 0
+        cold_ms = now - record.started_ms if record.started_ms > 0 else -1.0
+        return DeskState(cold_ms=cold_ms, full=now - record.no_idle_since >= FULL_AFTER_MS)
 
-    def _aim(self, now: float) -> None:
-        """New goals from the repair."""
+    def _update_goals(self, now: float) -> None:
+        """Set the goals to the shares of the repair."""
         followed = self.followed
-        assert followed is not None and self.mender is not None
+        assert followed is not None and self.repair is not None
         states = {desk.name: self._state(now, desk.name) for desk in followed.problem.desks}
-        capacity = capacities(followed.problem, followed.plan, states, self.cold)
-        mended = self.mender.reroute(capacity)
-        for kind, steering in self.steering.items():
-            goal = district_shares(followed.plan, mended, kind, followed.district)
-            steering.goal = goal or self._by_room(followed, kind, capacity)
+        capacity = capacities(followed.problem, followed.plan, states, self.warm_up)
+        repaired = self.repair.reroute(capacity)
+        for kind, shares in self.class_shares.items():
+            goal = district_shares(followed.plan, repaired, kind, followed.district)
+            shares.goal = goal or self._shares_by_capacity(followed, kind, capacity)
 
-    def _by_room(self, followed: FollowedPlan, kind: str, capacity: Mapping[str, int]) -> dict[str, int]:
-        """A class that the repair leaves without any desk still gets first choices: its desks by their room.
+    def _shares_by_capacity(self, followed: FollowedPlan, kind: str, capacity: Mapping[str, int]) -> dict[str, int]:
+        """Shares by capacity for a class that the repair leaves without a desk, so that it still has first choices.
 
-        The module refuses what they can't take; without a first choice it could take none.
+        The decision module refuses calls beyond the capacity; without a first choice it could accept none.
         """
-        parts = {
+        capacities_by_desk = {
             desk: max(1, capacity[desk])
-            for desk, given in sorted(followed.plan.placement)
-            if given == kind and self.desks.get(desk, DeskRecord()).ready
+            for desk, placed_class in sorted(followed.plan.placement)
+            if placed_class == kind and self.desks.get(desk, DeskRecord()).ready
         }
-        return permille(parts) if parts else {}
+        return permille(capacities_by_desk) if capacities_by_desk else {}
 
-    def _step(self, now: float, most: int) -> None:
-        out = {name for name, seen in self.desks.items() if not seen.ready}
-        for steering in self.steering.values():
-            gone = frozenset(name for name in steering.now if name in out or name not in self.desks)
-            if not gone and _apart(steering.now, steering.goal) < DEADBAND_PERMILLE and steering.now:
+    def _step(self, now: float, max_step: int) -> None:
+        unready = {name for name, record in self.desks.items() if not record.ready}
+        for shares in self.class_shares.values():
+            removed = frozenset(name for name in shares.current if name in unready or name not in self.desks)
+            if not removed and _share_difference(shares.current, shares.goal) < DEADBAND_PERMILLE and shares.current:
                 continue
-            if not steering.now or gone >= steering.now.keys():
-                steering.use(dict(steering.goal))  # nothing to move from
+            if not shares.current or removed >= shares.current.keys():
+                shares.use(dict(shares.goal))  # no shares are left to move from
             else:
-                steering.use(step_towards(steering.now, steering.goal, most, gone))
+                shares.use(step_towards(shares.current, shares.goal, max_step, removed))
 
-    # -- inputs of the module -------------------------------------------------------------------
+    # -- inputs of the decision module ----------------------------------------------------------
 
-    def first_choice(self, now: float, kind: str, number: bytes, usual: int) -> int:
-        """The pool of first choice for a call; `usual` where no plan steers it."""
-        if self.active(now) is None or kind not in self.steering:
-            return usual
-        desk = self.steering[kind].draw.pick(number)
+    def first_choice(self, now: float, kind: str, number: bytes, default: int) -> int:
+        """The pool of first choice for a call; `default` if no plan steers it."""
+        if self.active(now) is None or kind not in self.class_shares:
+            return default
+        desk = self.class_shares[kind].selector.pick(number)
         if desk is None:
-            self._tell("plan_class_unplaced", kind, kind=kind)
-            desk = self._other(kind).pick(number)
-        return self.desks[desk].cell if desk is not None else usual
+            self._log_once("plan_class_unplaced", kind, kind=kind)
+            desk = self._fallback(kind).pick(number)
+        return self.desks[desk].cell if desk is not None else default
 
-    def _other(self, kind: str) -> RendezvousHash:
-        """A draw among the listed desks that the settings allow a class; rebuilt when the list changes."""
-        if kind not in self.others:
+    def _fallback(self, kind: str) -> RendezvousHash:
+        """Selector among the listed desks that the settings allow for a class; rebuilt when the list changes."""
+        if kind not in self.fallbacks:
             pools = self.classes[kind].pools if kind in self.classes else None
-            self.others[kind] = RendezvousHash(
-                {name: 1 for name, seen in self.desks.items() if seen.ready and (pools is None or seen.cell in pools)}
+            self.fallbacks[kind] = RendezvousHash(
+                {name: 1 for name, desk in self.desks.items() if desk.ready and (pools is None or desk.cell in pools)}
             )
-        return self.others[kind]
+        return self.fallbacks[kind]
 
     def decision_settings(self, now: float) -> api.Settings:
-        """The settings with the plan's pools and allowances; the daemon's own where no plan says otherwise.
+        """The settings with the plan's pools and allowances; the daemon's own settings if no plan is active.
 
-        A class keeps the settings' pools while none of its planned desks is listed: it must stay served.
+        A class keeps the pools of the settings while none of its planned desks is ready, so that it is still served.
         """
         followed = self.active(now)
         if followed is None:
@@ -272,22 +272,22 @@
         for kind in self.settings.classes:
             cells = frozenset(
                 self.desks[desk].cell
-                for desk, given in followed.plan.placement
-                if given == kind.name and desk in self.desks and self.desks[desk].ready
+                for desk, placed_class in followed.plan.placement
+                if placed_class == kind.name and desk in self.desks and self.desks[desk].ready
             )
             allowed = cells if kind.pools is None else cells & kind.pools
             classes.append(replace(kind, pools=allowed) if allowed else kind)
         rates = allowances_per_s(followed.problem, followed.plan.flows)
         allowances = self.settings.allowances
-        if allowances:  # where offices have none, the module ranks without shares
+        if allowances:  # without allowances the decision module does not rank by share
             allowances = tuple(rates.get(name, old) for name, old in zip(self.offices, allowances, strict=True))
         return replace(self.settings, classes=tuple(classes), allowances=allowances)
 
     def shares(self) -> dict[str, dict[str, int]]:
-        """The shares in use by class, permille; for logs."""
-        return {kind: dict(steering.now) for kind, steering in self.steering.items()}
+        """The shares in use by class, in permille; for logs."""
+        return {kind: dict(shares.current) for kind, shares in self.class_shares.items()}
 
 
-def _apart(one: Mapping[str, int], other: Mapping[str, int]) -> int:
-    """Permille of calls by which two sets of shares differ."""
-    return sum(abs(one.get(name, 0) - other.get(name, 0)) for name in one.keys() | other.keys()) // 2
+def _share_difference(first: Mapping[str, int], second: Mapping[str, int]) -> int:
+    """The part of the calls, in permille, by which two sets of shares differ."""
+    return sum(abs(first.get(name, 0) - second.get(name, 0)) for name in first.keys() | second.keys()) // 2
--- a/tests/floods.py
+++ b/tests/floods.py
@@ -1,4 +1,4 @@
-"""A plan of the example flood, and a guide that follows it."""
+"""The example flood problem, and a follower of a plan for it."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -25,13 +25,13 @@
 
 
 def with_fixed_placement(problem: Problem, plan: Plan, lost: str = "") -> Problem:
-    """The problem whose only placement is the plan's; a lost desk can't carry anything."""
-    given = problem.classes_by_desk(plan.placement)
+    """A copy of the problem that admits only the plan's placement; the lost desk has no capacity."""
+    classes_by_desk = problem.classes_by_desk(plan.placement)
     desks = tuple(
         replace(
             d,
-            pinned=frozenset(given.get(d.name, ())),
-            forbidden=d.skills - frozenset(given.get(d.name, ())),
+            pinned=frozenset(classes_by_desk.get(d.name, ())),
+            forbidden=d.skills - frozenset(classes_by_desk.get(d.name, ())),
             most_classes=0,
             rate_milli=0 if d.name == lost else d.rate_milli,
         )
@@ -59,15 +59,15 @@
 
 
 def follower(plan: Plan, *names: str, until: float = float("inf")) -> PlanFollower:
-    made = PlanFollower(settings(), tuple(o.name for o in FLOOD.offices))
-    made.update_desks(0.0, desks(*(names or NAMES)))
-    made.set_plan(0.0, FollowedPlan(FLOOD, plan, "szeged", until))
-    return made
+    plan_follower = PlanFollower(settings(), tuple(o.name for o in FLOOD.offices))
+    plan_follower.update_desks(0.0, desks(*(names or NAMES)))
+    plan_follower.set_plan(0.0, FollowedPlan(FLOOD, plan, "szeged", until))
+    return plan_follower
 
 
-def count_choices(made: PlanFollower, now: float, kind: str, count: int = 2000) -> dict[str, int]:
-    out: dict[str, int] = {}
+def count_choices(plan_follower: PlanFollower, now: float, kind: str, count: int = 2000) -> dict[str, int]:
+    counts: dict[str, int] = {}
     for number in range(count):
-        name = NAMES[made.first_choice(now, kind, b"%d" % number, 99)]
-        out[name] = out.get(name, 0) + 1
-    return out
+        name = NAMES[plan_follower.first_choice(now, kind, b"%d" % number, 99)]
+        counts[name] = counts.get(name, 0) + 1
+    return counts
