--- a/tests/problems.py
+++ b/tests/problems.py
@@ -1,4 +1,4 @@
-"""Problems made by hand, for the tests of the planner."""
+"""Small planning problems for tests."""
 
 from pathlib import Path
 from typing import Any
@@ -26,9 +26,9 @@
 
 
 def problem(*desks: PlanDesk, load: int = 2, **change: Any) -> Problem:
-    """Two classes by loss (half of all calls), loads of whole erlangs."""
+    """Two loss classes with a target of 50 % lost calls; loads in whole erlangs."""
     kinds = (Kind("a", 2, 10_000, "loss", target_ppm=500_000), Kind("b", 1, 10_000, "loss", target_ppm=500_000))
-    facts: dict[str, Any] = {
+    fields: dict[str, Any] = {
         "districts": ("d0", "d1"),
         "latencies_us": {("d0", "d0"): 0, ("d1", "d1"): 0, ("d0", "d1"): 9, ("d1", "d0"): 9},
         "offices": (Office("o", 1000),),
@@ -37,6 +37,6 @@
         "demand": {("a", "d0", "o"): load},
         "grain": 1000,
     }
-    made = Problem(**(facts | change))
-    check_problem(made)
-    return made
+    result = Problem(**(fields | change))
+    check_problem(result)
+    return result
--- a/tests/test_plan_daemon.py
+++ b/tests/test_plan_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon that follows a plan: first choices, SIGHUP with good and bad plans, desks that are lost."""
+"""A daemon that follows a plan: first choices, SIGHUP with valid and invalid plans, lost desks."""
 
 import tempfile
 from pathlib import Path
@@ -46,8 +46,8 @@
 TABLE = '[plan]\nfile = "plan.toml"\nproblem = "problem.toml"\n'
 
 
-class PlanStory(DaemonTestCase):
-    """Files in a folder of their own, and an agent between two desks."""
+class PlanTestCase(DaemonTestCase):
+    """Plan files in a temporary folder, and an agent with two desks."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -57,7 +57,7 @@
         self.config: Config = config(settings=RAW | {"Tenants": [{"Name": "o", "AllowancePerS": 9}]})
 
     def write(self, first: int, table: str = TABLE) -> None:
-        """A plan that gives the class to the cheaper desk."""
+        """Write a plan that places the class at the cheaper desk."""
         (self.folder / "problem.toml").write_text(PROBLEM.format(first=first))
         problem = load_problem(self.folder / "problem.toml")
         save_plan(self.folder / "plan.toml", problem, solve(problem))
@@ -71,22 +71,22 @@
         self.addAsyncCleanup(self._stop, daemon, desks)
         await daemon.start()
         self.address = f"127.0.0.1:{daemon.front.listener.port}"
-        self.listed = [self.desk(k, await d.start()) for k, d in enumerate(desks)]
+        self.listed = [self.desk(number, await desk.start()) for number, desk in enumerate(desks)]
         daemon.agent.list_changed(api.Scope.CACHED, self.listed)
-        for place in range(len(desks)):
-            await self.eventually(lambda place=place: daemon.agent.module.node.fleet.servers[place].reported_at > 0)
-            self.fill_budget(daemon, place)
+        for index in range(len(desks)):
+            await self.eventually(lambda index=index: daemon.agent.module.node.fleet.servers[index].reported_at > 0)
+            self.fill_budget(daemon, index)
         return daemon
 
     async def call(self, ident: str) -> None:
-        """A call that names desk 0 as its first choice."""
+        """Make a call whose request names desk 0 as its first choice."""
         caller = await self.caller()
         caller.send(invite(ident))
         self.assertEqual((await caller.until(200)).get("call-id"), ident)
 
 
-class Followed(PlanStory):
-    async def test_first_choices_are_the_plans_and_change_with_it_on_sighup(self) -> None:
+class PlanFollowingTest(PlanTestCase):
+    async def test_first_choices_follow_the_plan_and_change_on_sighup(self) -> None:
         self.write(first=9)  # desk 1 is cheaper
         first, second = ScriptedDesk(), ScriptedDesk()
         daemon = await self.follow(first, second)
@@ -97,7 +97,7 @@
         self.assertEqual(self.events("reloaded")[-1]["waits_for_restart"], [])
         await self.call("00000000000000a2")
         await first.until("INVITE")
-        # Without a plan the caller's own first choice counts again, and a new plan is followed again.
+        # Without a plan the first choice of the request is used; a new plan is followed again.
         (self.folder / "plugins.toml").write_text("")
         daemon.reload()
         self.write(first=9)
@@ -108,18 +108,18 @@
         await self.call("00000000000000a3")
         await second.until("INVITE")
 
-    async def test_a_bad_plan_keeps_the_old_one(self) -> None:
+    async def test_an_invalid_plan_leaves_the_old_one_in_use(self) -> None:
         self.write(first=9)
         first, second = ScriptedDesk(), ScriptedDesk()
         daemon = await self.follow(first, second)
-        good = (self.folder / "plan.toml").read_text()
-        other = PROBLEM.format(first=9).replace("agents = 9", "agents = 8")
+        valid_plan = (self.folder / "plan.toml").read_text()
+        other_problem = PROBLEM.format(first=9).replace("agents = 9", "agents = 8")
         for text, problem, reason in (
-            (good[: len(good) // 2], None, "plan.toml"),  # truncated
+            (valid_plan[: len(valid_plan) // 2], None, "plan.toml"),  # truncated
             ("", None, "plan.toml"),
-            (good.replace("units = 20", "units = 21"), None, "arrive at desks"),  # edited by hand
-            (good, other, "another problem"),
-            (good, PROBLEM.format(first=9).replace('"a"', '"zz"'), "another problem"),
+            (valid_plan.replace("units = 20", "units = 21"), None, "arrive at desks"),  # edited by hand
+            (valid_plan, other_problem, "another problem"),
+            (valid_plan, PROBLEM.format(first=9).replace('"a"', '"zz"'), "another problem"),
         ):
             (self.folder / "plan.toml").write_text(text)
             (self.folder / "problem.toml").write_text(problem or PROBLEM.format(first=9))
@@ -132,19 +132,19 @@
         await self.call("00000000000000a1")
         await second.until("INVITE")
 
-    async def test_a_lost_desk_leaves_no_class_without_a_first_choice(self) -> None:
+    async def test_a_class_without_a_planned_desk_keeps_a_first_choice(self) -> None:
         self.write(first=9)
         first, second = ScriptedDesk(), ScriptedDesk()
         daemon = await self.follow(first, second)
         daemon.agent.list_changed(api.Scope.CACHED, self.listed[:1])
         await self.call("00000000000000a1")
         await first.until("INVITE")
-        self.assertEqual(len(self.events("plan_class_unplaced")), 0)  # told with the next step
+        self.assertEqual(len(self.events("plan_class_unplaced")), 0)  # logged with the next step
         daemon.agent.apply_steering()
         self.assertEqual(len(self.events("plan_class_unplaced")), 1)
         self.assertEqual(self.events("plan_desks_missing")[-1]["desks"], ["d1"])
 
-    async def test_a_plan_is_taken_up_on_sighup(self) -> None:
+    async def test_a_plan_is_enabled_on_sighup(self) -> None:
         self.write(first=9, table="")
         first, second = ScriptedDesk(), ScriptedDesk()
         daemon = await self.follow(first, second)
@@ -155,7 +155,7 @@
         await self.call("00000000000000a2")
         await second.until("INVITE")
 
-    def test_what_a_plan_table_may_not_say(self) -> None:
+    def test_invalid_plan_tables_are_rejected(self) -> None:
         for table, reason in (
             (TABLE + 'district = "nowhere"\n', "unknown district"),
             (TABLE + 'until = "2026-12-02T00:00:00"\n', "time zone"),
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""The planner: the same answers as an exhaustive search, and the hard cases of its page."""
+"""The planner: same results as an exhaustive search, and edge cases."""
 
 from dataclasses import replace
 
@@ -12,11 +12,11 @@
 from tests.exhaustive import best, random_problem
 from tests.problems import desk, problem
 
-SEEDS = (*range(200), 266, 2527, 3119, 3122, 4014, 6156)  # the last six: costs of 10^9 beside costs of 1
+SEEDS = (*range(200), 266, 2527, 3119, 3122, 4014, 6156)  # the last six: costs of 10^9 next to costs of 1
 
 
 def key(problem: Problem, plan: Plan) -> tuple[object, ...]:
-    """All of a plan in the exhaustive search's form."""
+    """A plan in the form of the exhaustive search's key."""
     supply = tuple(units for cell in problem.cells for units in plan.flows.supply[cell])
     pairs = sorted({(kind, district) for kind, district, _ in problem.cells})
     given = problem.classes_by_desk(plan.placement)
@@ -30,39 +30,39 @@
 
 
 def compare(seed: int) -> bool:
-    """Whether a random problem has a plan; the solver's and the search's answers must be the same."""
+    """Whether a random problem has a plan; solver and exhaustive search must agree."""
     problem = random_problem(seed)
-    true = best(problem)
+    expected = best(problem)
     try:
         plan = solve(problem)
     except InfeasibleError:
-        assert true is None, f"seed {seed}: a plan exists"
+        assert expected is None, f"seed {seed}: a plan exists"
         return False
-    assert true is not None, f"seed {seed}: no plan exists"
-    assert key(problem, plan) == true[0], f"seed {seed}"
+    assert expected is not None, f"seed {seed}: no plan exists"
+    assert key(problem, plan) == expected[0], f"seed {seed}"
     assert check(problem, plan) == []
     return True
 
 
 def test_solver_and_exhaustive_search_agree() -> None:
-    told = [compare(seed) for seed in SEEDS]
-    assert min(told.count(True), told.count(False)) > len(SEEDS) // 4, "both answers must be well represented"
+    has_plan = [compare(seed) for seed in SEEDS]
+    assert min(has_plan.count(True), has_plan.count(False)) > len(SEEDS) // 4, "both answers must be well represented"
 
 
 def test_a_conflict_is_minimal() -> None:
-    shown = 0
+    conflicts = 0
     for seed in range(400, 460):
         problem = random_problem(seed)
         if feasible(problem, ()):
             continue
         rules = conflict(problem)
-        everything = [r for r in _rules(problem) if r not in rules]
-        assert not feasible(problem, everything), "the conflict alone must have no plan"
+        other_rules = [r for r in _rules(problem) if r not in rules]
+        assert not feasible(problem, other_rules), "the conflict alone must be infeasible"
         for rule in rules:
-            assert feasible(problem, [*everything, rule]), f"{rule} has no part in it"
+            assert feasible(problem, [*other_rules, rule]), f"{rule} is not part of the conflict"
         assert len(conflict_lines(problem, rules)) == len(rules)
-        shown += 1
-    assert shown > 15
+        conflicts += 1
+    assert conflicts > 15
 
 
 def _rules(problem: Problem) -> list[Rule]:
@@ -71,26 +71,26 @@
     return rules(problem)
 
 
-def test_desk_without_agents_gets_nothing() -> None:
+def test_desk_without_agents_gets_no_classes() -> None:
     plan = solve(problem(desk("x", agents=0), desk("y")))
     assert plan.placement == {("y", "a")}
     with pytest.raises(InfeasibleError):
         solve(problem(desk("x", agents=0, pinned=frozenset("a"))))
 
 
-def test_class_without_demand_is_given_nowhere() -> None:
+def test_class_without_demand_is_not_placed() -> None:
     plan = solve(problem(desk("x"), demand={("a", "d0", "o"): 0, ("b", "d0", "o"): 1}))
     assert plan.placement == {("x", "b")}
     assert solve(problem(desk("x"), demand={})).placement == frozenset()
 
 
-def test_office_without_a_share_counts_beyond_it() -> None:
+def test_load_of_an_office_without_a_share_has_reduced_worth() -> None:
     plan = solve(problem(desk("x"), offices=(Office("o", 0),)))
     assert plan.flows.supply["a", "d0", "o"] == (0, 2)
     assert plan.objective.worth == 2 * (200 * 50 // 1000)
 
 
-def test_alike_desks_are_used_by_name() -> None:
+def test_identical_desks_are_used_by_name() -> None:
     for order in (("x", "y", "z"), ("z", "y", "x"), ("y", "z", "x")):
         plan = solve(problem(*(desk(name, agents=1) for name in order)))
         assert plan.placement == {("x", "a"), ("y", "a")}
@@ -100,18 +100,18 @@
 
 
 def test_demand_at_capacity_and_one_unit_above() -> None:
-    room = problem(desk("x")).class_capacities["x", "a"]
-    full = solve(problem(desk("x"), load=room))
-    assert full.flows.supply["a", "d0", "o"] == (room, 0)
-    over = solve(problem(desk("x"), load=room + 1))
-    assert over.flows.supply["a", "d0", "o"] == (room, 0) and over.objective.worth == full.objective.worth
+    capacity = problem(desk("x")).class_capacities["x", "a"]
+    full = solve(problem(desk("x"), load=capacity))
+    assert full.flows.supply["a", "d0", "o"] == (capacity, 0)
+    over = solve(problem(desk("x"), load=capacity + 1))
+    assert over.flows.supply["a", "d0", "o"] == (capacity, 0) and over.objective.worth == full.objective.worth
     floor = (Office("o", 1000, 1000),)
-    assert solve(problem(desk("x"), load=room, offices=floor)).status == "optimal"
+    assert solve(problem(desk("x"), load=capacity, offices=floor)).status == "optimal"
     with pytest.raises(InfeasibleError):
-        solve(problem(desk("x"), load=room + 1, offices=floor))
+        solve(problem(desk("x"), load=capacity + 1, offices=floor))
 
 
-def test_redundancy_that_leaves_no_plan_is_told_in_words() -> None:
+def test_infeasible_redundancy_is_reported() -> None:
     both = desk("x"), desk("y", skills=frozenset("b"), district="d1")
     assert solve(problem(*both)).status == "optimal"
     needs = Kind("a", 2, 10_000, "loss", target_ppm=500_000, districts=2)
@@ -134,19 +134,20 @@
         with pytest.raises(InfeasibleError):
             solve(made := problem(desk("x", **change)))
         made = problem(desk("x", **change))
-        told = conflict(made)
-        assert any(rule.topic == "pin" for rule in told) and len(told) in (2, 3)
+        conflicting = conflict(made)
+        assert any(rule.topic == "pin" for rule in conflicting) and len(conflicting) in (2, 3)
 
 
 def test_moves_from_a_plan_in_force() -> None:
-    force = frozenset({("y", "b")})
-    kept = solve(problem(desk("x"), desk("y"), current=force, moves=0, demand={("b", "d0", "o"): 1}))
-    assert kept.placement == force and kept.objective.moves == 0
-    none = solve(problem(desk("x"), desk("y"), current=force, moves=0))  # what is in force can't carry class a
-    assert none.placement == force and none.objective.worth == 0
-    one = solve(problem(desk("x"), desk("y"), current=force, moves=1))
-    assert one.objective.worth == 400 and one.objective.moves == 1
-    # A plan in force that is against the rules itself has to be left, which may take more moves than allowed.
+    in_force = frozenset({("y", "b")})
+    same = solve(problem(desk("x"), desk("y"), current=in_force, moves=0, demand={("b", "d0", "o"): 1}))
+    assert same.placement == in_force and same.objective.moves == 0
+    unchanged = solve(problem(desk("x"), desk("y"), current=in_force, moves=0))
+    # The placement in force cannot carry class a.
+    assert unchanged.placement == in_force and unchanged.objective.worth == 0
+    changed = solve(problem(desk("x"), desk("y"), current=in_force, moves=1))
+    assert changed.objective.worth == 400 and changed.objective.moves == 1
+    # Correcting a plan in force that violates the rules may take more moves than allowed.
     bad = frozenset({("x", "a"), ("y", "a")})
     with pytest.raises(InfeasibleError):
         solve(problem(desk("x", forbidden=frozenset("a")), desk("y", forbidden=frozenset("a")), current=bad, moves=1))
@@ -166,13 +167,13 @@
 
 
 def test_worth_before_cost_before_distance() -> None:
-    near, far = desk("x", fixed_cost=11), desk("y", district="d1")
-    assert solve(problem(near, far)).placement == {("y", "a")}
-    assert solve(problem(replace(near, fixed_cost=10), replace(far, name="a"))).placement == {("x", "a")}
+    near, remote = desk("x", fixed_cost=11), desk("y", district="d1")
+    assert solve(problem(near, remote)).placement == {("y", "a")}
+    assert solve(problem(replace(near, fixed_cost=10), replace(remote, name="a"))).placement == {("x", "a")}
     small = desk("s", agents=1, fixed_cost=0)
     assert solve(problem(small, desk("z", fixed_cost=10**6))).objective.worth == 400
 
 
-def test_columns_that_the_solver_was_started_with_are_not_its_answer() -> None:
-    """HiGHS 1.16 hands a start's columns back beside the better value it proved (these seeds meet it)."""
+def test_start_solution_is_not_taken_for_the_result() -> None:
+    """HiGHS 1.16 may return the column values of the start solution with the better value that it proved."""
     assert compare(77) and compare(111)
