--- a/seamlb/planning/command.py
+++ b/seamlb/planning/command.py
@@ -80,7 +80,7 @@
         try:
             lines = conflict_lines(loaded_problem, solver.conflict(loaded_problem, deadline, progress))
         except solver.OutOfTimeError:
-            _exit(INFEASIBLE, f"{problem}: no plan exists; the time ran out before the conflict was found")
+            _exit(INFEASIBLE, f"{problem}: no plan exists; the time limit was reached before the conflict was found")
         _exit(INFEASIBLE, f"{problem}: no plan exists; these rules conflict:", *(f"- {line}" for line in lines))
     if violations := check_plan(loaded_problem, plan_found):
         _exit(BAD_INPUT, f"{problem}: the plan found is rejected by the checker: {violations[0]}")
--- a/seamlb/planning/solve.py
+++ b/seamlb/planning/solve.py
@@ -264,7 +264,7 @@
     model.col_cost_ = costs
     model.col_lower_, model.col_upper_ = numpy.array(program.low), numpy.array(program.high)
     model.integrality_ = [
-        highspy.HighsVarType.kInteger if whole else highspy.HighsVarType.kContinuous for whole in program.integer
+        highspy.HighsVarType.kInteger if flag else highspy.HighsVarType.kContinuous for flag in program.integer
     ]
     starts, columns, values, low, high = [0], list[int](), list[float](), list[float](), list[float]()
     for row in program.rows:
--- a/seamlb/planning/words.py
+++ b/seamlb/planning/words.py
@@ -28,17 +28,17 @@
                     f"{_candidates(problem, kind, by_district=True)}"
                 )
             case "floor", (office,):
-                lines.append(f"{office} must have {problem.floors[office]} units carried")
+                lines.append(f"{office} needs at least {problem.floors[office]} carried units")
             case "pin", (desk, kind):
                 lines.append(f"{desk} is pinned to {kind}")
             case "forbid", (desk, kind):
-                lines.append(f"{desk} is forbidden {kind}")
+                lines.append(f"{desk} must not have {kind}")
             case "skill", (desk, kind):
                 lines.append(f"{desk} has no skill for {kind}")
             case "agents", (desk,):
                 lines.append(f"{desk} has no agents")
             case "most", (desk,):
-                lines.append(f"{desk} may be given {problem.desk[desk].most_classes} classes at once")
+                lines.append(f"{desk} may have {problem.desk[desk].most_classes} classes at once")
     return lines
 
 
