--- a/seamlb/planning/model.py
+++ b/seamlb/planning/model.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Office:
-    """A county office (tenant). Plan files store a hash of the repr of `Office` and `Kind`: no name may change."""
+    """A county office (tenant). `problem_digest` hashes the repr of `Office` and `Kind`: names are stored data."""
 
     name: str
     share: int  # permille of all offered load, up to which the office's load has its full worth
@@ -163,10 +163,10 @@
 
     def classes_by_desk(self, placement: Placement) -> dict[str, tuple[str, ...]]:
         """The sorted classes of each desk; desks without classes are omitted."""
-        out: dict[str, list[str]] = {}
+        classes: dict[str, list[str]] = {}
         for desk, kind in sorted(placement):
-            out.setdefault(desk, []).append(kind)
-        return {desk: tuple(kinds) for desk, kinds in out.items()}
+            classes.setdefault(desk, []).append(kind)
+        return {desk: tuple(kinds) for desk, kinds in classes.items()}
 
     def cost(self, placement: Placement) -> int:
         """Total cost of the desks that a placement opens."""
@@ -235,16 +235,16 @@
 
 def weights(problem: Problem, flows: Flows) -> dict[tuple[str, str], dict[str, int]]:
     """Units per desk by (class, district); call agents select a call's first choice with these weights."""
-    out: dict[tuple[str, str], dict[str, int]] = {}
+    units_by_desk: dict[tuple[str, str], dict[str, int]] = {}
     for (kind, district, desk), units in sorted(flows.routes.items()):
         if units:
-            out.setdefault((kind, district), {})[desk] = units
-    return out
+            units_by_desk.setdefault((kind, district), {})[desk] = units
+    return units_by_desk
 
 
 def allowances_per_s(problem: Problem, flows: Flows) -> dict[str, float]:
     """Calls per second that the plan carries of each office; the agents' allowances are set to them."""
-    out = {one.name: 0.0 for one in problem.offices}
+    rates = {one.name: 0.0 for one in problem.offices}
     for (kind, _, office), (within, beyond) in flows.supply.items():
-        out[office] += (within + beyond) * problem.grain / problem.kind[kind].holding_ms
-    return out
+        rates[office] += (within + beyond) * problem.grain / problem.kind[kind].holding_ms
+    return rates
