--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -3,9 +3,9 @@
     .venv/bin/python -m benchmarks.agree times --out docs/results/agree.md      # about ten minutes on three cores
     .venv/bin/python -m benchmarks.agree runs --seeds 1000                      # random faults, counted only
 
-Voting members and agents are the program's own, on the simulated network of `tests/council.py`: a message takes
-0.05 s on average, and each node processes its messages every 0.1 s. They are compared with two alternatives: each
-agent reads a changed file at a time of its own (`READ_WITHIN_S` is an assumption about how soon operators reload all
+Voting members and agents are the program's own, on the simulated network of `tests/agree_simulation.py`: a message
+takes 0.05 s on average, and each node processes its messages every 0.1 s. They are compared with two alternatives:
+each agent reads a changed file at a time of its own (`READ_WITHIN_S` is an assumption about how soon operators reload all
 agents), and last-writer-wins gossip (each agent sends to one other agent five times per second, with the same loss).
 A contradiction lasts from the first agent that applies the new version to the last one that applies the old; for an
 agent that is cut off, it is counted for as long as the run is watched.
@@ -19,10 +19,10 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from seamlb.agree.holder import LeaseState
-from seamlb.planning.words import table
-from tests.council import LEASE, TICK, World
-from tests.faults import inject_faults, newest_version, recover
+from seamlb.agree.lease import LeaseState
+from seamlb.planning.reports import table
+from tests.agree_faults import inject_faults, newest_version, recover
+from tests.agree_simulation import LEASE, TICK, World
 
 READ_WITHIN_S = 60.0  # within which all agents reload a changed settings file
 MAX_WATCH_S = 60.0  # how long a run is watched
--- a/benchmarks/agree_processes.py
+++ b/benchmarks/agree_processes.py
@@ -16,8 +16,8 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from seamlb.planning.words import table
-from tests.agreed import WITHIN, Site, boottime
+from seamlb.planning.reports import table
+from tests.agree_site import WITHIN, Site, boottime
 from tests.schedules import run_schedule, schedules
 
 
--- a/benchmarks/draws.py
+++ b/benchmarks/draws.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from seamlb.planning.draw import HASH_RANGE, RendezvousHash
+from seamlb.planning.rendezvous import HASH_RANGE, RendezvousHash
 
 NUMBERS = [b"%d" % n for n in range(50_000)]
 Pick = Callable[[bytes], str | None]
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -2,8 +2,8 @@
 
     .venv/bin/python -m benchmarks.members --seeds 5 --out docs/results/members.md
 
-Gossip is the program's own protocol in its wire format, on the simulated network of `tests/gossip.py` (20 ms mean
-delay, loss as given). With the heartbeat, each instance sends 60 bytes to every other one each second, and is
+Gossip is the program's own protocol in its wire format, on the simulated network of `tests/virtual_network.py` (20 ms
+mean delay, loss as given). With the heartbeat, each instance sends 60 bytes to every other one each second, and is
 considered dead by an instance that has not received any for 5 s.
 """
 
@@ -15,8 +15,8 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from seamlb.planning.words import table
-from tests.gossip import VirtualNetwork
+from seamlb.planning.reports import table
+from tests.virtual_network import VirtualNetwork
 
 CASES = ((5, 0.0), (5, 0.1), (5, 0.3), (50, 0.0), (50, 0.1), (50, 0.3), (200, 0.0), (200, 0.1))
 WATCH_S = 60.0  # in which no instance dies: every suspicion is false
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from benchmarks.problems import problem
-from seamlb.planning.carry import optimal_flows
 from seamlb.planning.model import Objective, Plan
+from seamlb.planning.placement_flows import optimal_flows
 from seamlb.planning.repair import Repair
 from seamlb.planning.solve import OutOfTimeError, solve
 
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -15,10 +15,10 @@
 
 from seamlb.hook import Hook
 from seamlb.plugins.chain import Chain
-from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.engine import WasmEngine
 from seamlb.plugins.host import Facts, Grant, Plugin
-from seamlb.plugins.machine import Interpreter
+from seamlb.plugins.interpreter import Interpreter
+from seamlb.plugins.type_checker import compile_rules
 from seamlb.plugins.wasm import compile_program
 from seamlb.plugins.windows import Window
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -20,10 +20,10 @@
 
 import numpy as np
 
-from seamlb.planning.words import table
-from seamlb.rollout.change import AgentStatus, RolloutState, RolloutStateMachine
-from seamlb.rollout.figures import Sample
+from seamlb.planning.reports import table
 from seamlb.rollout.plan import Agent, Plan, Revision, Stage
+from seamlb.rollout.samples import Sample
+from seamlb.rollout.state_machine import AgentStatus, RolloutState, RolloutStateMachine
 
 CLASSES = (("level-check", 0.74, 0.05), ("subscribe-update", 0.21, 0.08), ("alert-confirm", 0.05, 0.02))
 REQUESTS_PER_S = 5.0  # of the average agent
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -3,9 +3,9 @@
     .venv/bin/python -m benchmarks.zones --seeds 3 --out docs/results/zones.md
 
 24 desks in three zones and 120 calls/s for any number of agents; each desk handles 10 calls/s. Zone evacuation and
-membership are the program's own, on the simulated network of `tests/zoned.py`. The decision module is left out: calls
-go to any desk in an active zone. In the alternative, each agent leaves a zone on its own observations and returns
-with a rate limit of its own, which is a desk's full capacity.
+membership are the program's own, on the simulated network of `tests/zone_simulation.py`. The decision module is left
+out: calls go to any desk in an active zone. In the alternative, each agent leaves a zone on its own observations and
+returns with a rate limit of its own, which is a desk's full capacity.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from seamlb.planning.words import table
-from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, TRICKLE_S, ZoneState
-from tests.zoned import SimulatedFleet
+from seamlb.planning.reports import table
+from seamlb.zones.failover import MIN_OUT_S, RAMP_S, TRICKLE_S, ZoneState
+from tests.zone_simulation import SimulatedFleet
 
 CALLS_PER_S = 120.0
 
--- a/seamlb/agree/merged.py
+++ b/seamlb/agree/desk_list_merger.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence
 
-from seamlb.agree.lists import DeskLists, DeskStatus
+from seamlb.agree.desk_lists import DeskLists, DeskStatus
 from seamlb.api import Availability, Scope
 from seamlb.routing.model import Desk, DeskListCallback
 
--- a/seamlb/agree/acting.py
+++ b/seamlb/agree/enforcer.py
@@ -16,12 +16,12 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import replace
 
-from seamlb.agree.charter import ConfigVersion
-from seamlb.agree.holder import LeaseHolder, LeaseState
+from seamlb.agree.lease import LeaseHolder, LeaseState
 from seamlb.agree.relations import Value
+from seamlb.agree.version import ConfigVersion
 from seamlb.api import Availability, Settings
+from seamlb.routing.input_filters import InputFilter
 from seamlb.routing.model import Desk
-from seamlb.routing.seam import InputFilter
 
 TENANT_PREFIX = "tenant."
 EXPECTED_KINDS = {"open": "limit", "desks": "held", "zones": "left"}
--- a/seamlb/agree/frames.py
+++ b/seamlb/agree/frames.py
@@ -4,7 +4,7 @@
 
 The length counts what follows it; numbers are big-endian. A frame that has no valid signature, is for another
 receiver or of a site with another founding version is counted and dropped, and reading continues; an invalid length
-ends the stream. An attacker may replay frames: messages tolerate that (agree/council.py).
+ends the stream. An attacker may replay frames: messages tolerate that (agree/voter.py).
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from hashlib import blake2b
 from hmac import compare_digest
 
-from seamlb.agree.charter import MAX_VERSION_BYTES
-from seamlb.agree.notes import Message, decode
+from seamlb.agree.messages import Message, decode
+from seamlb.agree.version import MAX_VERSION_BYTES
 
 MAC_BYTES = 16
 DIGEST_BYTES = 16  # of a version's digest
--- a/seamlb/agree/holder.py
+++ b/seamlb/agree/lease.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from seamlb.agree.charter import ConfigVersion, VersionError, decode, fallback_values, transition_values
-from seamlb.agree.notes import Kind, Message
+from seamlb.agree.messages import Kind, Message
 from seamlb.agree.relations import Value
+from seamlb.agree.version import ConfigVersion, VersionError, decode, fallback_values, transition_values
 
 RENEW_AFTER = 0.3  # part of a lease between two requests for its renewal
 Outgoing = list[tuple[str, Message]]
--- a/seamlb/agree/seat.py
+++ b/seamlb/agree/participant.py
@@ -18,11 +18,11 @@
 
 import orjson
 
-from seamlb.agree.charter import ConfigVersion, VersionError
-from seamlb.agree.council import Outgoing, Voter
-from seamlb.agree.holder import LeaseHolder
-from seamlb.agree.kept import PersistedState, decode_state
-from seamlb.agree.notes import Kind, Message
+from seamlb.agree.lease import LeaseHolder
+from seamlb.agree.messages import Kind, Message
+from seamlb.agree.persisted_state import PersistedState, decode_state
+from seamlb.agree.version import ConfigVersion, VersionError
+from seamlb.agree.voter import Outgoing, Voter
 from seamlb.store import record
 from seamlb.store.files import DISK, Files
 
--- a/seamlb/agree/kept.py
+++ b/seamlb/agree/persisted_state.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from seamlb.agree.charter import ConfigVersion, decode
-from seamlb.agree.notes import NO_BALLOT, Ballot
+from seamlb.agree.messages import NO_BALLOT, Ballot
+from seamlb.agree.version import ConfigVersion, decode
 
 
 @dataclass(slots=True)
--- a/seamlb/agree/link.py
+++ b/seamlb/agree/service.py
@@ -13,16 +13,16 @@
 from typing import Any
 
 from seamlb import log
-from seamlb.agree.acting import RuleEnforcer
-from seamlb.agree.council import Outgoing
+from seamlb.agree.enforcer import RuleEnforcer
 from seamlb.agree.frames import Codec, FrameError, FrameReader
-from seamlb.agree.notes import REPLIES, REQUESTS, Message
-from seamlb.agree.seat import LogLines, Participant
-from seamlb.agree.table import AgreeSettings
+from seamlb.agree.messages import REPLIES, REQUESTS, Message
+from seamlb.agree.participant import LogLines, Participant
+from seamlb.agree.settings import AgreeSettings
+from seamlb.agree.voter import Outgoing
+from seamlb.net.close_reason import CloseReason
+from seamlb.net.connecting import ConnectError, connect
 from seamlb.net.connection import Connection
-from seamlb.net.dial import ConnectError, connect
 from seamlb.net.listener import Listener
-from seamlb.net.reason import CloseReason
 
 STEPS_PER_LEASE = 20  # periodic steps
 MAX_SILENT_LEASES = 1.0  # leases after which a connection with an unanswered request is replaced
--- a/seamlb/agree/table.py
+++ b/seamlb/agree/settings.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from seamlb.agree.acting import kind_error
-from seamlb.agree.charter import ConfigVersion, Rule
+from seamlb.agree.enforcer import kind_error
+from seamlb.agree.version import ConfigVersion, Rule
 
 LEASE_SHARE = 0.5  # of `within`, for the lease; the rest is for votes and lost messages
 MIN_WITHIN, MAX_WITHIN = 1.0, 60.0  # s
--- a/seamlb/agree/council.py
+++ b/seamlb/agree/voter.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from seamlb.agree.charter import ConfigVersion, VersionError, decode
-from seamlb.agree.kept import PersistedState
-from seamlb.agree.notes import MAX_CLOCK_DRIFT, NO_BALLOT, Ballot, Kind, Message
+from seamlb.agree.messages import MAX_CLOCK_DRIFT, NO_BALLOT, Ballot, Kind, Message
+from seamlb.agree.persisted_state import PersistedState
+from seamlb.agree.version import ConfigVersion, VersionError, decode
 
 Outgoing = list[tuple[str, Message]]
 STATE_INTERVAL = 0.2  # of a lease, between two STATE messages to the other voters
--- a/seamlb/daemon.py
+++ b/seamlb/daemon.py
@@ -19,11 +19,11 @@
 from seamlb.lifecycle import Lifecycle
 from seamlb.net import descriptors
 from seamlb.net.address import split_address
-from seamlb.optional_parts import hook, sip_desks, sip_front
+from seamlb.optional_components import hook, sip_desks, sip_front
 from seamlb.routing.agent import Agent, Clock
 from seamlb.routing.model import Discovery, Request
 from seamlb.subsystems import Subsystem, build, local_rules
-from seamlb.subsystems.lists import DiscoverySubsystem
+from seamlb.subsystems.discovery import DiscoverySubsystem
 from seamlb.subsystems.peers import PeerSocket
 from seamlb.subsystems.plan import PlanSubsystem
 
--- a/seamlb/desks/keeper.py
+++ b/seamlb/desks/connection_manager.py
@@ -8,9 +8,9 @@
 
 from seamlb import log
 from seamlb.desks.reader import ServerReader
+from seamlb.net.close_reason import CloseReason
+from seamlb.net.connecting import ConnectError, connect
 from seamlb.net.connection import Connection
-from seamlb.net.dial import ConnectError, connect
-from seamlb.net.reason import CloseReason
 
 if TYPE_CHECKING:
     from seamlb.desks.link import Link
--- a/seamlb/desks/link.py
+++ b/seamlb/desks/link.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from seamlb.desks.keeper import CALL_SILENCE, ConnectionManager
+from seamlb.desks.connection_manager import CALL_SILENCE, ConnectionManager
 from seamlb.desks.legs import Leg, LegTable
 from seamlb.desks.requests import bye, invite
+from seamlb.net.close_reason import CloseReason
 from seamlb.net.connection import Connection
-from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Message
 from seamlb.routing.model import Attempt, Desk, Outcome, Status
 
--- a/seamlb/desks/platform.py
+++ b/seamlb/desks/platform.py
@@ -8,8 +8,8 @@
 from seamlb.desks.legs import Key, Leg
 from seamlb.desks.link import CAUSE_CUT, Link, LinkContext
 from seamlb.desks.requests import call_request, reason_header, request
+from seamlb.net.close_reason import CloseReason
 from seamlb.net.connection import Connection
-from seamlb.net.reason import CloseReason
 from seamlb.protocol.report import DIAGNOSES, parse_load_report
 from seamlb.protocol.sip import Message, parameter, response
 from seamlb.routing.model import Answer, Attempt, AttemptCallback, Availability, Desk, Outcome, Status
--- a/seamlb/desks/reader.py
+++ b/seamlb/desks/reader.py
@@ -5,8 +5,8 @@
 from typing import Protocol
 
 from seamlb import log
+from seamlb.net.close_reason import CloseReason
 from seamlb.net.connection import Connection
-from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Framer, Message, SipError, find_byes
 
 PARTIAL_MESSAGE_TIMEOUT = 0.25  # seconds; after a truncated answer the connection is unusable
--- a/seamlb/discovery/board.py
+++ b/seamlb/discovery/board.py
@@ -11,7 +11,7 @@
 
 from seamlb import log
 from seamlb.discovery.poller import Poller, PollError
-from seamlb.net.reason import CloseReason
+from seamlb.net.close_reason import CloseReason
 from seamlb.protocol.notices import Notice, NoticeError, parse_notices
 from seamlb.routing.model import Availability, Desk, DeskListCallback, Scope
 
--- a/seamlb/discovery/consul.py
+++ b/seamlb/discovery/consul.py
@@ -13,7 +13,7 @@
 
 from seamlb import log
 from seamlb.discovery.poller import Poller, PollError
-from seamlb.net.reason import CloseReason
+from seamlb.net.close_reason import CloseReason
 from seamlb.routing.model import Availability, Desk, DeskListCallback, Scope
 
 BACK_OFF_MIN, BACK_OFF_MAX = 0.5, 30.0  # seconds
--- a/seamlb/discovery/poller.py
+++ b/seamlb/discovery/poller.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
+from seamlb.net.close_reason import CloseReason
+from seamlb.net.connecting import ConnectError, connect
 from seamlb.net.connection import Connection
-from seamlb.net.dial import ConnectError, connect
-from seamlb.net.reason import CloseReason
 from seamlb.protocol.http import HttpError, Response, ResponseReader, get_request
 
 CONNECT_TIMEOUT = 1.0  # seconds
--- a/seamlb/emulator/lab.py
+++ b/seamlb/emulator/lab.py
@@ -16,8 +16,8 @@
 from seamlb.planning.files import load_problem
 from seamlb.planning.model import Plan, PlanningError, Problem
 from seamlb.planning.plan_files import read_plan_file
-from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.syntax import RuleError
+from seamlb.plugins.type_checker import compile_rules
 
 FIGURES = ("worth", "worst_class", "worst_office", "cost", "attempts_per_call", "fallen", "late", "broken")
 Row = dict[str, str]
--- a/seamlb/emulator/load.py
+++ b/seamlb/emulator/load.py
@@ -18,7 +18,7 @@
 from seamlb.emulator.loadcallers import Callers
 from seamlb.emulator.loaddesks import FAULTS, BoardStub, DeskStub
 from seamlb.emulator.loadsite import DESKS, Load, Report, Site, read_site
-from seamlb.planning.words import table
+from seamlb.planning.reports import table
 
 __all__ = ["DESKS", "FAULTS", "FRONTS", "Load", "Report", "Site", "play", "read_site", "report_lines", "save"]
 
--- a/seamlb/emulator/policies.py
+++ b/seamlb/emulator/policies.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 
 from seamlb.emulator.scenario import Policy
-from seamlb.planning.carry import optimal_flows
 from seamlb.planning.files import apportion
 from seamlb.planning.model import Flows, Plan, Problem, objective
+from seamlb.planning.placement_flows import optimal_flows
 
 RULES_SUFFIX = "+rules"
 POLICY_NAMES = ("plan", "plan-static", "uniform", "greedy")
--- a/seamlb/emulator/results.py
+++ b/seamlb/emulator/results.py
@@ -12,7 +12,7 @@
 from seamlb import __version__
 from seamlb.emulator.lab import FIGURES, Experiment, Row
 from seamlb.planning.model import PlanningError
-from seamlb.planning.words import table
+from seamlb.planning.reports import table
 
 
 def save(folder: Path, rows: Sequence[Row], command: str, experiment: Experiment) -> None:
--- a/seamlb/emulator/run.py
+++ b/seamlb/emulator/run.py
@@ -20,14 +20,14 @@
 )
 from seamlb.emulator.standin import SimulatedDesk, make_rng
 from seamlb.emulator.world import REPORT_INTERVAL_S, EmulatedDesks, SimulatedCaller
-from seamlb.planning.draw import RendezvousHash
 from seamlb.planning.follow import FollowedPlan, PlanFollower
 from seamlb.planning.model import PERMILLE, Problem, weights
+from seamlb.planning.rendezvous import RendezvousHash
 from seamlb.plugins.advisor import PluginAdvisor
 from seamlb.plugins.chain import Chain
-from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.host import Grant, Plugin
-from seamlb.plugins.machine import Interpreter
+from seamlb.plugins.interpreter import Interpreter
+from seamlb.plugins.type_checker import compile_rules
 from seamlb.routing.agent import Agent
 from seamlb.routing.model import Desk, Request
 
--- a/seamlb/extras.py
+++ b/seamlb/extras.py
@@ -13,12 +13,12 @@
 
 from seamlb.config import Config, ConfigError
 from seamlb.discovery.consul import ConsulConfig
-from seamlb.members.table import MemberKeys, MembersConfig, load_keys
+from seamlb.members.settings import MemberKeys, MembersConfig, load_keys
 from seamlb.net.address import split_address
 from seamlb.sip.settings import SipFrontConfig
 
 if TYPE_CHECKING:
-    from seamlb.agree.table import AgreeSettings
+    from seamlb.agree.settings import AgreeSettings
     from seamlb.planning.follow import FollowedPlan
     from seamlb.plugins.loading import PluginsConfig
 
@@ -125,7 +125,7 @@
 
 def _load_agreed(raw: Mapping[str, Any], folder: Path, config: Config) -> AgreeSettings | None:
     """Check the table and load its keys and its initial configuration version; ValueError if that fails."""
-    from seamlb.agree.table import AgreeConfig, resolve
+    from seamlb.agree.settings import AgreeConfig, resolve
 
     if (table := _parse_table(raw, "agree", AgreeConfig)) is None:
         return None
--- a/seamlb/fronts/management.py
+++ b/seamlb/fronts/management.py
@@ -10,9 +10,9 @@
 
 from seamlb import log
 from seamlb.lifecycle import Lifecycle
+from seamlb.net.close_reason import CloseReason
 from seamlb.net.connection import Connection
 from seamlb.net.listener import Listener
-from seamlb.net.reason import CloseReason
 from seamlb.protocol.http import HttpError, Request, RequestReader, encode_response
 
 MAX_CONNECTIONS = 32  # at the limit, the one that has waited longest without a complete request is closed
--- a/seamlb/fronts/platform.py
+++ b/seamlb/fronts/platform.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 
 from seamlb import log
+from seamlb.fronts.call_parameters import InvalidCallError, parse_parameters, parse_timeout
 from seamlb.fronts.calls import Call, Client
-from seamlb.fronts.figures import InvalidCallError, parse_parameters, parse_timeout
 from seamlb.fronts.releases import PREFERENCE_WAIT, Release, ReleaseQueue, ReleaseSender
 from seamlb.lifecycle import Lifecycle, Phase
+from seamlb.net.close_reason import CloseReason
 from seamlb.net.connection import MAX_UNSENT_CLIENT, Connection
-from seamlb.net.lag import EventLoopLag
+from seamlb.net.event_loop_lag import EventLoopLag
 from seamlb.net.listener import Listener
-from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import MAX_MESSAGE_BYTES, Message, SipError, is_decimal, parameter, response
 from seamlb.routing.agent import Agent
 from seamlb.routing.model import Request
--- a/seamlb/fronts/sip.py
+++ b/seamlb/fronts/sip.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from seamlb import log
-from seamlb.fronts.figures import InvalidCallError, parse_parameters, parse_timeout
+from seamlb.fronts.call_parameters import InvalidCallError, parse_parameters, parse_timeout
 from seamlb.lifecycle import Lifecycle
-from seamlb.net.lag import EventLoopLag
+from seamlb.net.event_loop_lag import EventLoopLag
 from seamlb.protocol.dialog import AnswerRetransmitter, Dialog
 from seamlb.protocol.sip import Message, is_decimal, parameter, response
 from seamlb.routing.agent import Agent, CallSession
--- a/seamlb/members/link.py
+++ b/seamlb/members/service.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from seamlb import log
-from seamlb.members.guard import DatagramAuthenticator
-from seamlb.members.shares import LimitDivisor
+from seamlb.members.authentication import DatagramAuthenticator
+from seamlb.members.limit_divisor import LimitDivisor
+from seamlb.members.settings import MemberKeys, MembersConfig
 from seamlb.members.swim import Outgoing, Swim
-from seamlb.members.table import MemberKeys, MembersConfig
 from seamlb.members.wire import MAX_NAME_BYTES, Status
 from seamlb.net.address import split_address
 from seamlb.net.datagram import DatagramEndpoint
--- a/seamlb/net/dial.py
+++ b/seamlb/net/connecting.py
@@ -10,8 +10,8 @@
 
 from seamlb import log
 from seamlb.net.address import address_family, split_address
+from seamlb.net.close_reason import CloseReason
 from seamlb.net.connection import MAX_UNSENT, READ_CHUNK, Connection
-from seamlb.net.reason import CloseReason
 
 
 class ConnectError(Exception):
--- a/seamlb/net/connection.py
+++ b/seamlb/net/connection.py
@@ -10,7 +10,7 @@
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
 from seamlb import log
-from seamlb.net.reason import CloseReason
+from seamlb.net.close_reason import CloseReason
 
 READ_CHUNK = 64 * 1024  # bytes
 READ_PER_TURN = 16 * 1024  # bytes read from a connection before others are served, so that a flood starves none
--- a/seamlb/net/listener.py
+++ b/seamlb/net/listener.py
@@ -11,8 +11,8 @@
 from tornado.tcpserver import TCPServer
 
 from seamlb.net.address import address_family, split_address
+from seamlb.net.close_reason import CloseReason
 from seamlb.net.connection import MAX_UNSENT, READ_CHUNK, Connection
-from seamlb.net.reason import CloseReason
 
 
 class Listener(TCPServer):
--- a/seamlb/planning/command.py
+++ b/seamlb/planning/command.py
@@ -19,7 +19,7 @@
 from seamlb.planning.model import Plan, PlanningError
 from seamlb.planning.plan_files import plan_text, problem_digest, read_plan_file, save_plan
 from seamlb.planning.repair import worth_after_losses
-from seamlb.planning.words import conflict_lines, constraint_slack, plan_difference, plan_report, table
+from seamlb.planning.reports import conflict_lines, constraint_slack, plan_difference, plan_report, table
 
 REJECTED, BAD_INPUT, INFEASIBLE, UNPROVEN = 1, 2, 3, 4
 FILE = click.Path(dir_okay=False)
--- a/seamlb/planning/follow.py
+++ b/seamlb/planning/follow.py
@@ -20,8 +20,8 @@
 from typing import Protocol
 
 from seamlb import api
-from seamlb.planning.draw import RendezvousHash
 from seamlb.planning.model import Plan, Problem, allowances_per_s
+from seamlb.planning.rendezvous import RendezvousHash
 from seamlb.planning.repair import DeskState, Repair, WarmUp, capacities, district_shares, permille, step_towards
 
 STEP_INTERVAL_MS = 500.0  # minimum time between two steps of the shares
--- a/seamlb/planning/solve.py
+++ b/seamlb/planning/solve.py
@@ -13,8 +13,8 @@
 from math import gcd
 from typing import Any
 
-from seamlb.planning.carry import optimal_flows
 from seamlb.planning.model import Objective, Placement, Plan, PlanningError, Problem, objective
+from seamlb.planning.placement_flows import optimal_flows
 from seamlb.planning.program import INFINITE, RADIX, Program, Row, Rule, Terms, build, rules
 
 MAX_CUT_ROUNDS = 200  # maximum rounds of cuts against rounding errors
--- a/seamlb/plugins/abi.py
+++ b/seamlb/plugins/abi.py
@@ -13,8 +13,8 @@
 
 import orjson
 
-from seamlb.plugins.checking import MAX_INPUTS, MAX_TEXT_LENGTH, POINTS, Input, Program
 from seamlb.plugins.syntax import Declaration, Position
+from seamlb.plugins.type_checker import MAX_INPUTS, MAX_TEXT_LENGTH, POINTS, Input, Program
 
 ABI = 1
 MANIFEST_SECTION = "seamlb"
--- a/seamlb/plugins/command.py
+++ b/seamlb/plugins/command.py
@@ -10,13 +10,13 @@
 import orjson
 
 from seamlb.plugins.abi import ModuleError
-from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.control import send_request
+from seamlb.plugins.formatter import explain_program, format_file
 from seamlb.plugins.host import Grant
 from seamlb.plugins.language import parse
 from seamlb.plugins.loading import LoadError, load_plugin
-from seamlb.plugins.printing import explain_program, format_file
 from seamlb.plugins.syntax import RuleError
+from seamlb.plugins.type_checker import compile_rules
 from seamlb.plugins.wasm import compile_program
 
 FILE = click.Path(path_type=Path, dir_okay=False)
--- a/seamlb/plugins/printing.py
+++ b/seamlb/plugins/formatter.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from seamlb.plugins.checking import Expr, Program
 from seamlb.plugins.syntax import Action, Declaration, Node, RuleFile
+from seamlb.plugins.type_checker import Expr, Program
 
 BINDING_STRENGTH = {  # of operators, by kind of node; higher binds tighter
     "any_of": 1,
--- a/seamlb/plugins/host.py
+++ b/seamlb/plugins/host.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 
 from seamlb.plugins.abi import Engine, PluginError
-from seamlb.plugins.checking import POINTS, UNITS, Program
+from seamlb.plugins.type_checker import POINTS, UNITS, Program
 from seamlb.plugins.windows import VariableStore, Window
 
 
--- a/seamlb/plugins/machine.py
+++ b/seamlb/plugins/interpreter.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from seamlb.plugins.abi import MAX_ANSWERS, Answers, PluginError
-from seamlb.plugins.checking import ARITHMETIC, COMPARISONS, POINTS, Expr, Program
+from seamlb.plugins.type_checker import ARITHMETIC, COMPARISONS, POINTS, Expr, Program
 
 CONST, INPUT, NOT, NEG, BINARY, JUMP_IF, JUMP_UNLESS, SKIP_NEXT, ANSWER, STOP = range(10)
 BINARY_FUNCTIONS = [*COMPARISONS.values(), *ARITHMETIC.values()]
--- a/seamlb/plugins/loading.py
+++ b/seamlb/plugins/loading.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from seamlb.plugins.abi import MAX_MODULE_BYTES, ModuleError, custom_section, decode_manifest
-from seamlb.plugins.checking import FACTS, POINTS, compile_rules
 from seamlb.plugins.host import Grant, GrantError, Plugin
+from seamlb.plugins.interpreter import Interpreter
 from seamlb.plugins.language import MAX_FILE_SIZE
-from seamlb.plugins.machine import Interpreter
 from seamlb.plugins.syntax import RuleError
+from seamlb.plugins.type_checker import FACTS, POINTS, compile_rules
 
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
--- a/seamlb/plugins/wasm.py
+++ b/seamlb/plugins/wasm.py
@@ -5,7 +5,7 @@
 import struct
 
 from seamlb.plugins.abi import MANIFEST_SECTION, MAX_ANSWERS, PAGE_BYTES, ModuleError, encode_manifest
-from seamlb.plugins.checking import POINTS, Clause, Expr, Program
+from seamlb.plugins.type_checker import POINTS, Clause, Expr, Program
 
 I32, F64, NO_RESULT = 0x7F, 0x7C, 0x40
 IF, ELSE, END, RETURN = 0x04, 0x05, 0x0B, 0x0F
--- a/seamlb/policy/controller.py
+++ b/seamlb/policy/controller.py
@@ -4,7 +4,7 @@
 
 from seamlb import api
 from seamlb.observations import Call, PendingSetUp, Server
-from seamlb.policy.callers import CallerHistory
+from seamlb.policy.caller_history import CallerHistory
 from seamlb.policy.gating import Gate
 from seamlb.policy.node import RATE_FADE_MS, STALL_MS, Node
 from seamlb.policy.ranking import Ranking
--- a/seamlb/rollout/judge.py
+++ b/seamlb/rollout/analysis.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from seamlb.rollout.figures import Evidence, Stratum, Tally
+from seamlb.rollout.samples import Evidence, Stratum, Tally
 
 RATE_RATIOS = (1.25, 1.6, 2.0, 3.0, 6.0, 12.0, 30.0, 100.0)  # new rate / old rate, equally weighted
 SLOW_QUANTILES = {"p50": 0.5, "p90": 0.9, "p99": 0.99}  # of both sides together; a slower answer is an event
--- a/seamlb/rollout/command.py
+++ b/seamlb/rollout/command.py
@@ -10,10 +10,10 @@
 
 import click
 
-from seamlb.rollout.change import FINAL_PHASES, RolloutState
-from seamlb.rollout.conductor import COMMANDS, RolloutController, RolloutRefusedError, StateFolder
-from seamlb.rollout.keeper import Supervisor, load_supervisor
+from seamlb.rollout.controller import COMMANDS, RolloutController, RolloutRefusedError, StateFolder
 from seamlb.rollout.plan import Plan, PlanError, load_plan
+from seamlb.rollout.state_machine import FINAL_PHASES, RolloutState
+from seamlb.rollout.supervisor import Supervisor, load_supervisor
 from seamlb.store import record
 
 STATE = click.option(
--- a/seamlb/rollout/conductor.py
+++ b/seamlb/rollout/controller.py
@@ -19,9 +19,9 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError, HTTPRequest
 
 from seamlb import log
-from seamlb.rollout.change import FINAL_PHASES, AgentStatus, Order, RolloutState, RolloutStateMachine
-from seamlb.rollout.figures import Sample
 from seamlb.rollout.plan import Revision
+from seamlb.rollout.samples import Sample
+from seamlb.rollout.state_machine import FINAL_PHASES, AgentStatus, Order, RolloutState, RolloutStateMachine
 from seamlb.store import record
 
 STEP_INTERVAL_S = 0.5
--- a/seamlb/rollout/change.py
+++ b/seamlb/rollout/state_machine.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from seamlb.rollout.figures import Evidence, Sample
-from seamlb.rollout.judge import find_regression
+from seamlb.rollout.analysis import find_regression
 from seamlb.rollout.plan import Plan
+from seamlb.rollout.samples import Evidence, Sample
 
 Phase = Literal["forward", "paused", "back", "done", "undone"]
 FINAL_PHASES = ("done", "undone")
--- a/seamlb/rollout/keeper.py
+++ b/seamlb/rollout/supervisor.py
@@ -26,8 +26,8 @@
 from seamlb.net.address import address_family, split_address
 from seamlb.protocol.http import Request
 from seamlb.rollout.fence import Fence
-from seamlb.rollout.keeping import DRAIN_TIMEOUT_S, Action, ProcessStateMachine, Start, Terminate
 from seamlb.rollout.plan import PlanError, Revision
+from seamlb.rollout.processes import DRAIN_TIMEOUT_S, Action, ProcessStateMachine, Start, Terminate
 from seamlb.store import record
 
 TICK_S = 0.1  # interval at which the processes are checked
--- a/seamlb/routing/agent.py
+++ b/seamlb/routing/agent.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from seamlb import api, log
+from seamlb.routing.call import Action, AttemptUpdate, CallerGone, CallSession, Overdue, Shutdown, TimedOut, hash_key
 from seamlb.routing.core import Clock, Core
-from seamlb.routing.life import Action, AttemptUpdate, CallerGone, CallSession, Overdue, Shutdown, TimedOut, hash_key
 from seamlb.routing.model import Advisor, Answer, Attempt, Caller, Outcome, Request, Steering
 
 __all__ = ["Agent", "CallSession", "Clock"]
--- a/seamlb/routing/core.py
+++ b/seamlb/routing/core.py
@@ -11,10 +11,10 @@
 
 from seamlb import api, log
 from seamlb.policy.controller import Controller
+from seamlb.routing.call import CallSession
 from seamlb.routing.counters import Counters
-from seamlb.routing.life import CallSession
+from seamlb.routing.input_filters import InputFilterChain
 from seamlb.routing.model import Advisor, Attempt, Desk, DeskClient, Peers, Request, Steering
-from seamlb.routing.seam import InputFilterChain
 
 MIN_TIMER_S = 1e-4  # a shorter timer would only spin the event loop until the clock advances
 
--- a/seamlb/sip/endpoint.py
+++ b/seamlb/sip/endpoint.py
@@ -11,11 +11,11 @@
 
 from seamlb import log
 from seamlb.net.address import split_address
+from seamlb.net.close_reason import CloseReason
+from seamlb.net.connecting import ConnectError, connect
 from seamlb.net.connection import Connection
 from seamlb.net.datagram import DatagramEndpoint
-from seamlb.net.dial import ConnectError, connect
 from seamlb.net.listener import Listener
-from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Framer, Message, SipError, is_decimal, parameter, parse_datagram, response
 from seamlb.protocol.transaction import (
     MAGIC_COOKIE,
--- a/seamlb/subsystems/__init__.py
+++ b/seamlb/subsystems/__init__.py
@@ -14,7 +14,7 @@
 from seamlb.routing.agent import Agent
 
 if TYPE_CHECKING:
-    from seamlb.subsystems.rules import PluginsSubsystem
+    from seamlb.subsystems.plugins import PluginsSubsystem
 
 View = Callable[[], Mapping[str, Any]]
 Command = Callable[[str], str]  # takes the operator's argument; returns the reason of a refusal, or an empty text
@@ -74,7 +74,7 @@
         subsystems.append(MeasuresSubsystem(agent))
     members = None
     if plugins.members and plugins.member_keys:
-        from seamlb.subsystems.fleet import MembersSubsystem
+        from seamlb.subsystems.members import MembersSubsystem
 
         members = MembersSubsystem(config, plugins.members, plugins.member_keys, agent)
         subsystems.append(members)
@@ -83,7 +83,7 @@
 
         subsystems.append(ZonesSubsystem(config, plugins.zones, agent, members.membership if members else None))
     if plugins.agree:
-        from seamlb.subsystems.versions import AgreeSubsystem
+        from seamlb.subsystems.agreement import AgreeSubsystem
 
         subsystems.append(AgreeSubsystem(config, plugins.agree, agent))
     return subsystems
@@ -93,6 +93,6 @@
     """The plug-ins for the agent's constructor; None without a table `[plugins]`; adding one needs a restart."""
     if plugins.plugins is None:
         return None
-    from seamlb.subsystems.rules import PluginsSubsystem
+    from seamlb.subsystems.plugins import PluginsSubsystem
 
     return PluginsSubsystem(config, plugins.plugins, clock)
--- a/seamlb/subsystems/versions.py
+++ b/seamlb/subsystems/agreement.py
@@ -5,8 +5,8 @@
 from collections.abc import Coroutine, Mapping
 from dataclasses import replace
 
-from seamlb.agree.link import AgreementService
-from seamlb.agree.table import AgreeSettings
+from seamlb.agree.service import AgreementService
+from seamlb.agree.settings import AgreeSettings
 from seamlb.config import Config
 from seamlb.extras import Plugins
 from seamlb.routing.agent import Agent
--- a/seamlb/subsystems/lists.py
+++ b/seamlb/subsystems/discovery.py
@@ -32,7 +32,7 @@
 
     def _merge(self, on_change: DeskListCallback, board: bool) -> tuple[DeskListCallback, DeskListCallback]:
         # Imported only for two sources: a daemon without plug-ins has one.
-        from seamlb.agree.merged import DeskListMerger
+        from seamlb.agree.desk_list_merger import DeskListMerger
 
         merged = DeskListMerger(("board", "consul"), ("board", "consul") if board else ("consul",), on_change)
         self.start_merged = merged.publish_first
--- a/seamlb/subsystems/measures.py
+++ b/seamlb/subsystems/measures.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Coroutine, Mapping
 
-from seamlb.rollout.measures import CanaryMetrics
+from seamlb.rollout.metrics import CanaryMetrics
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Subsystem, View
 
--- a/seamlb/subsystems/fleet.py
+++ b/seamlb/subsystems/members.py
@@ -7,8 +7,8 @@
 from seamlb import __version__, log
 from seamlb.config import Config
 from seamlb.extras import Plugins
-from seamlb.members.link import MembershipService
-from seamlb.members.table import MemberKeys, MembersConfig
+from seamlb.members.service import MembershipService
+from seamlb.members.settings import MemberKeys, MembersConfig
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Subsystem, View
 
--- a/seamlb/subsystems/zones.py
+++ b/seamlb/subsystems/zones.py
@@ -7,11 +7,11 @@
 from seamlb import __version__, log
 from seamlb.config import Config
 from seamlb.extras import ZonesConfig
-from seamlb.members.link import MembershipService
+from seamlb.members.service import MembershipService
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Command, Subsystem, View
-from seamlb.zones.fleet import Vote
-from seamlb.zones.overlay import ZoneFilter
+from seamlb.zones.failover import Vote
+from seamlb.zones.zone_filter import ZoneFilter
 
 STEP_INTERVAL_S = 0.1  # between two evaluations of the zones
 
--- a/seamlb/zones/overlay.py
+++ b/seamlb/zones/zone_filter.py
@@ -12,10 +12,10 @@
 from dataclasses import replace
 from typing import Any
 
+from seamlb.routing.input_filters import InputFilter
 from seamlb.routing.model import Availability, Desk, Status
-from seamlb.routing.seam import InputFilter
-from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, ReturnPacer, Vote, ZoneFailover, ZoneState
-from seamlb.zones.sight import ZoneObservations
+from seamlb.zones.failover import MIN_OUT_S, RAMP_S, ReturnPacer, Vote, ZoneFailover, ZoneState
+from seamlb.zones.observations import ZoneObservations
 
 FAILURES = (Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
 RESPONSES = (Status.OK, Status.FULL, Status.ERROR)  # they prove that the desk is alive
--- a/tests/agents.py
+++ b/tests/agree_agent.py
@@ -1,8 +1,8 @@
 """The rules of one agent, with a lease that tests control, without sockets."""
 
-from seamlb.agree.acting import RuleEnforcer
-from seamlb.agree.charter import ConfigVersion, Rule
-from seamlb.agree.holder import LeaseHolder
+from seamlb.agree.enforcer import RuleEnforcer
+from seamlb.agree.lease import LeaseHolder
+from seamlb.agree.version import ConfigVersion, Rule
 from seamlb.api import Availability
 from seamlb.routing.model import Desk
 
--- a/tests/faults.py
+++ b/tests/agree_faults.py
@@ -3,8 +3,8 @@
 import random
 from collections.abc import Callable
 
-from seamlb.agree.charter import ConfigVersion
-from tests.council import LEASE, World, random_successor
+from seamlb.agree.version import ConfigVersion
+from tests.agree_simulation import LEASE, World, random_successor
 
 
 def newest_version(world: World) -> ConfigVersion:
--- a/tests/council.py
+++ b/tests/agree_simulation.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from seamlb.agree.charter import ConfigVersion, Rule
-from seamlb.agree.council import Voter
-from seamlb.agree.holder import LeaseHolder, LeaseState
-from seamlb.agree.kept import PersistedState, decode_state
-from seamlb.agree.notes import Message, decode
+from seamlb.agree.lease import LeaseHolder, LeaseState
+from seamlb.agree.messages import Message, decode
+from seamlb.agree.persisted_state import PersistedState, decode_state
 from seamlb.agree.relations import RELATIONS
+from seamlb.agree.version import ConfigVersion, Rule
+from seamlb.agree.voter import Voter
 
 LEASE = 2.0  # s
 TICK = 0.1  # s
--- a/tests/agreed.py
+++ b/tests/agree_site.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from seamlb.agree.charter import ConfigVersion, fallback_values, transition_values
-from seamlb.agree.holder import LeaseState
+from seamlb.agree.lease import LeaseState
 from seamlb.agree.relations import RELATIONS
-from seamlb.agree.table import load_founding_version
+from seamlb.agree.settings import load_founding_version
+from seamlb.agree.version import ConfigVersion, fallback_values, transition_values
 from tests.fleet import GOOD_COMMAND, ROOT, own_host
 from tests.injector import Injector
 from tests.loopback import HANG_TIMEOUT
--- a/tests/one_turn.py
+++ b/tests/event_orders.py
@@ -9,7 +9,7 @@
 
 from seamlb import api
 from seamlb.routing.agent import Agent
-from seamlb.routing.life import CallSession, Overdue, TimedOut
+from seamlb.routing.call import CallSession, Overdue, TimedOut
 from seamlb.routing.model import Answer, Attempt, AttemptCallback, Desk, Outcome, Request
 from tests.support import settings
 
--- a/tests/versions.py
+++ b/tests/faulty_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the program with one fault each, started as `python tests/versions.py FAULT`."""
+"""Versions of the program with one fault each, started as `python tests/faulty_versions.py FAULT`."""
 
 import asyncio
 import errno
@@ -72,7 +72,7 @@
     case "disk":  # faulty while a file exists; its content selects the fault
         _inject_disk_faults(Path(sys.argv.pop(1)))
     case "eager":  # continues to act after its lease has expired
-        from seamlb.agree.holder import LeaseHolder, LeaseState
+        from seamlb.agree.lease import LeaseHolder, LeaseState
 
         LeaseHolder.lease_state = lambda self, now: LeaseState.IN_FORCE  # type: ignore[method-assign]
 main()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -32,8 +32,8 @@
 
 
 def faulty_command(*fault: str) -> tuple[str, ...]:
-    """The command of a version with a fault of tests/versions.py."""
-    return (sys.executable, "tests/versions.py", *fault)
+    """The command of a version with a fault of tests/faulty_versions.py."""
+    return (sys.executable, "tests/faulty_versions.py", *fault)
 
 
 _hosts = itertools.count(1)
--- a/tests/plugin_modules.py
+++ b/tests/plugin_modules.py
@@ -7,10 +7,10 @@
 
 from seamlb.plugins.abi import MANIFEST_SECTION, custom_section, decode_manifest
 from seamlb.plugins.chain import Chain
-from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.engine import WasmEngine
 from seamlb.plugins.host import Facts, Grant, Plugin
-from seamlb.plugins.machine import Interpreter
+from seamlb.plugins.interpreter import Interpreter
+from seamlb.plugins.type_checker import compile_rules
 from seamlb.plugins.wasm import unsigned
 
 UNLIMITED = Grant(max_share=1.0)
--- a/tests/schedules.py
+++ b/tests/schedules.py
@@ -5,8 +5,8 @@
 import itertools
 from collections.abc import Iterator
 
-from tests.council import LEASE, World
-from tests.faults import newest_version, partition
+from tests.agree_faults import newest_version, partition
+from tests.agree_simulation import LEASE, World
 
 STEP_S = 0.25 * LEASE  # a lease that was granted before the first step is valid up to the last
 STARTS = ("apart", "whole")  # a002 and a003 are separated for two leases; no faults
--- a/tests/rollout_toy.py
+++ b/tests/simulated_rollout.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from seamlb.rollout.change import AgentStatus, RolloutState, RolloutStateMachine
-from seamlb.rollout.figures import Sample
 from seamlb.rollout.plan import Agent, Plan, Revision, Stage
+from seamlb.rollout.samples import Sample
+from seamlb.rollout.state_machine import AgentStatus, RolloutState, RolloutStateMachine
 
 OLD, NEW = (msgspec.structs.replace(Revision(name, ("run", name), "{}"), digest="0") for name in ("old", "new"))
 
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from seamlb.agree.charter import ConfigVersion
-from seamlb.agree.holder import LeaseHolder, LeaseState
-from seamlb.agree.notes import Kind, Message
-from tests.council import LEASE, World, founding_version
-from tests.faults import inject_faults, newest_version, recover
+from seamlb.agree.lease import LeaseHolder, LeaseState
+from seamlb.agree.messages import Kind, Message
+from seamlb.agree.version import ConfigVersion
+from tests.agree_faults import inject_faults, newest_version, recover
+from tests.agree_simulation import LEASE, World, founding_version
 
 
 def settled(agents: int = 5, voters: int = 3, seed: int = 1, loss: float = 0.0) -> World:
--- a/tests/test_agree_bugs.py
+++ b/tests/test_agree_bugs.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from seamlb.agree.council import Proposal, Voter
-from seamlb.agree.holder import LeaseHolder
-from seamlb.agree.notes import Kind, Message
-from tests.council import LEASE, World, random_successor
-from tests.faults import inject_faults, newest_version
+from seamlb.agree.lease import LeaseHolder
+from seamlb.agree.messages import Kind, Message
+from seamlb.agree.voter import Proposal, Voter
+from tests.agree_faults import inject_faults, newest_version
+from tests.agree_simulation import LEASE, World, random_successor
 
 Bug = Callable[[], AbstractContextManager[Any]]
 
--- a/tests/test_agree_daemon.py
+++ b/tests/test_agree_daemon.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from tests.agreed import WITHIN, Site, boottime
+from tests.agree_site import WITHIN, Site, boottime
 from tests.fleet import faulty_command, own_host
 
 
--- a/tests/test_agree_link.py
+++ b/tests/test_agree_link.py
@@ -5,11 +5,11 @@
 from pathlib import Path
 from unittest import mock
 
-from seamlb.agree.holder import LeaseState
-from seamlb.agree.link import AgreementService
-from seamlb.agree.notes import Kind, Message
-from seamlb.agree.table import AgreeSettings
-from tests.agents import KEYS, grant_lease, make_enforcer
+from seamlb.agree.lease import LeaseState
+from seamlb.agree.messages import Kind, Message
+from seamlb.agree.service import AgreementService
+from seamlb.agree.settings import AgreeSettings
+from tests.agree_agent import KEYS, grant_lease, make_enforcer
 
 
 def test_logs_and_status_have_the_agent_refresh_so_that_its_module_gets_every_change(tmp_path: Path) -> None:
--- a/tests/test_agree_search.py
+++ b/tests/test_agree_search.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from seamlb.agree.council import Voter
-from seamlb.agree.kept import PersistedState, decode_state
-from seamlb.agree.notes import NO_BALLOT, Kind, Message
-from tests.council import LEASE, founding_version
+from seamlb.agree.messages import NO_BALLOT, Kind, Message
+from seamlb.agree.persisted_state import PersistedState, decode_state
+from seamlb.agree.voter import Voter
+from tests.agree_simulation import LEASE, founding_version
 
 FIRST = founding_version(3, 3)
 RIVALS = {"a000": FIRST.with_values(limit=20), "a002": FIRST.with_values(limit=30)}
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from seamlb import api
-from seamlb.policy.callers import BUSY_NUMBER_MS, MAX_REMEMBERED
+from seamlb.policy.caller_history import BUSY_NUMBER_MS, MAX_REMEMBERED
 from seamlb.policy.controller import LINES_BUSY, Controller
 from tests.mechanism import advance, settings_with_late_worth
 from tests.support import call_request, ended, give_list, sent_to, settings
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -6,11 +6,11 @@
 from unittest import mock
 
 from seamlb import api
-from seamlb.desks import keeper
+from seamlb.desks import connection_manager
+from seamlb.net.connecting import connect
 from seamlb.net.connection import Connection
-from seamlb.net.dial import connect
 from seamlb.protocol.sip import MAX_MESSAGE_BYTES, Message
-from seamlb.routing.life import AttemptUpdate, CallSession
+from seamlb.routing.call import AttemptUpdate, CallSession
 from seamlb.routing.model import Answer, Outcome
 from tests.loopback import (
     HANG_TIMEOUT,
@@ -96,7 +96,7 @@
             await may_connect.wait()
             return await connect(*args)
 
-        self.enterContext(mock.patch.object(keeper, "connect", delayed))
+        self.enterContext(mock.patch.object(connection_manager, "connect", delayed))
         daemon = await self.start()
         daemon.agent.list_changed(api.Scope.CACHED, [self.desk(0, await desk.start())])
         self.addAsyncCleanup(desk.stop)
@@ -162,7 +162,10 @@
                 raise RuntimeError("a fault")
             return await real(*args)
 
-        with mock.patch.object(keeper, "connect", faulty), mock.patch.object(keeper, "RETRY_MAX", 0.01):
+        with (
+            mock.patch.object(connection_manager, "connect", faulty),
+            mock.patch.object(connection_manager, "RETRY_MAX", 0.01),
+        ):
             await self.start(desk)
         self.assertEqual([one["where"] for one in self.events("fault")], ["desk"])
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -13,10 +13,10 @@
 
 from seamlb.daemon import Daemon
 from seamlb.fronts.calls import Client
+from seamlb.net.close_reason import CloseReason
+from seamlb.net.connecting import ConnectError, connect
 from seamlb.net.connection import MAX_UNSENT_CLIENT
 from seamlb.net.descriptors import MIN_CALLER_SHARE, RESERVED, max_caller_connections, max_management_connections
-from seamlb.net.dial import ConnectError, connect
-from seamlb.net.reason import CloseReason
 from tests.http_peers import ScriptedHttpServer, http, notices
 from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, invite, sip_request
 from tests.processes import ProcessTestCase
--- a/tests/test_merged.py
+++ b/tests/test_desk_list_merger.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Sequence
 
-from seamlb.agree.merged import DeskListMerger
+from seamlb.agree.desk_list_merger import DeskListMerger
 from seamlb.api import Availability, Scope
 from seamlb.daemon import Daemon
 from seamlb.discovery.consul import ConsulConfig
--- a/tests/test_lists.py
+++ b/tests/test_desk_lists.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from seamlb.agree.lists import DeskLists, DeskStatus, Entry
+from seamlb.agree.desk_lists import DeskLists, DeskStatus, Entry
 
 SOURCES = ("board", "consul", "held")
 DESKS = ("d1", "d2", "d3")
--- a/tests/test_desk_silence.py
+++ b/tests/test_desk_silence.py
@@ -5,10 +5,10 @@
 
 from seamlb import api
 from seamlb.daemon import Daemon
-from seamlb.desks.keeper import CALL_SILENCE, RETRY_MAX, UNREACHABLE_AFTER
+from seamlb.desks.connection_manager import CALL_SILENCE, RETRY_MAX, UNREACHABLE_AFTER
+from seamlb.net.close_reason import CloseReason
+from seamlb.net.connecting import ConnectError
 from seamlb.net.connection import Connection
-from seamlb.net.dial import ConnectError
-from seamlb.net.reason import CloseReason
 from seamlb.protocol.sip import Message
 from tests.loopback import SDP, DaemonTestCase, Peer, ScriptedDesk, bye, invite, never_answer
 
@@ -89,7 +89,7 @@
                 ) -> Connection:
                     raise ConnectError(left.pop(0) if len(left) > 1 else left[0])
 
-                with mock.patch("seamlb.desks.keeper.connect", connect):
+                with mock.patch("seamlb.desks.connection_manager.connect", connect):
                     await self.eventually(lambda left=left: len(left) == 1)
                     await asyncio.sleep(0.1)
                     self.assertTrue(daemon.agent.sessions)
@@ -103,7 +103,7 @@
             raise ConnectError(CloseReason.CONNECT_TIMEOUT)
 
         link = daemon.desks.links["d0"]
-        with mock.patch("seamlb.desks.keeper.connect", connect):
+        with mock.patch("seamlb.desks.connection_manager.connect", connect):
             await self.eventually(lambda: link.unreachable)
             self.assertGreater(asyncio.get_running_loop().time() - link.connections[-1].last_read, CALL_SILENCE)
             caller.send(invite("00000000000000a2"))
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from seamlb.planning.draw import RendezvousHash
 from seamlb.planning.follow import DEADBAND_PERMILLE, MAX_STEP_PERMILLE, SETTLE_MS, FollowedPlan, PlanFollower
 from seamlb.planning.model import Plan
+from seamlb.planning.rendezvous import RendezvousHash
 from seamlb.planning.repair import capacities, permille
 from seamlb.planning.solve import solve
 from seamlb.routing.model import Desk
-from tests.floods import FLOOD, NAMES, count_choices, desks, follower, settings
+from tests.flood_plan import FLOOD, NAMES, count_choices, desks, follower, settings
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_last_releases.py
+++ b/tests/test_last_releases.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from seamlb import api
-from seamlb.routing.life import AttemptUpdate
+from seamlb.routing.call import AttemptUpdate
 from seamlb.routing.model import Outcome
 from tests.loopback import HANG_TIMEOUT, DaemonTestCase, Peer, ScriptedDesk, bye, invite, sip_request
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -51,7 +51,7 @@
         "routing",
         "zones",
     },
-    "optional_parts": {"desks", "extras", "fronts", "hook", "lifecycle", "routing", "sip"},
+    "optional_components": {"desks", "extras", "fronts", "hook", "lifecycle", "routing", "sip"},
     "drain": {"desks", "fronts", "lifecycle", "log", "routing"},
     "daemon": {
         "__version__",
@@ -61,7 +61,7 @@
         "extras",
         "fronts",
         "lifecycle",
-        "optional_parts",
+        "optional_components",
         "subsystems",
     }
     | WIRE_LAYERS,
@@ -125,22 +125,25 @@
         *(
             f"agree/{module}.py"
             for module in (
-                "acting",
-                "charter",
-                "council",
+                "enforcer",
+                "version",
+                "voter",
                 "frames",
-                "holder",
-                "kept",
-                "lists",
-                "merged",
-                "notes",
+                "lease",
+                "persisted_state",
+                "desk_lists",
+                "desk_list_merger",
+                "messages",
                 "relations",
-                "seat",
-                "table",
+                "participant",
+                "settings",
             )
         ),
-        *(f"rollout/{module}.py" for module in ("change", "fence", "figures", "judge", "keeping", "plan")),
-        *(f"members/{module}.py" for module in ("shares", "swim", "table", "wire")),
+        *(
+            f"rollout/{module}.py"
+            for module in ("state_machine", "fence", "samples", "analysis", "processes", "plan")
+        ),
+        *(f"members/{module}.py" for module in ("limit_divisor", "swim", "settings", "wire")),
     ],
 )
 def test_pure_modules_import_no_network_code(name: str) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,10 +5,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from seamlb.members.shares import HOLD_S, LimitDivisor
+from seamlb.members.limit_divisor import HOLD_S, LimitDivisor
 from seamlb.members.swim import DUPLICATE_TTL_S, MAX_DEAD_MEMBERS, MAX_HEALTH, STALL_S
 from seamlb.members.wire import Datagram, Kind, Record, Status
-from tests.gossip import EPOCH, VirtualNetwork
+from tests.virtual_network import EPOCH, VirtualNetwork
 
 
 def names(count: int, *without: str) -> set[str]:
--- a/tests/test_members_daemon.py
+++ b/tests/test_members_daemon.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from seamlb.cli import main
-from seamlb.members.guard import DatagramAuthenticator
+from seamlb.members.authentication import DatagramAuthenticator
 from seamlb.members.wire import Datagram, Kind, Record, Status
 from tests.fleet import ROOT, check_files, own_host
 from tests.loopback import HANG_TIMEOUT
--- a/tests/test_members_wire.py
+++ b/tests/test_members_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from seamlb.members.guard import DatagramAuthenticator
+from seamlb.members.authentication import DatagramAuthenticator
 from seamlb.members.wire import (
     MAX_CLOCK_SKEW_S,
     MAX_DATAGRAM_BYTES,
@@ -18,7 +18,7 @@
     Status,
     decode,
 )
-from tests.gossip import KEY, VirtualNetwork
+from tests.virtual_network import KEY, VirtualNetwork
 
 
 class Wire(unittest.TestCase):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,10 +9,10 @@
 from seamlb import api
 from seamlb.daemon import Daemon
 from seamlb.net import connection
+from seamlb.net.close_reason import CloseReason
+from seamlb.net.connecting import ConnectError, connect
 from seamlb.net.connection import Connection
-from seamlb.net.dial import ConnectError, connect
 from seamlb.net.listener import Listener
-from seamlb.net.reason import CloseReason
 from seamlb.routing.agent import Clock
 from seamlb.routing.model import Desk
 from tests.loopback import DaemonTestCase, Peer, ScriptedDesk, config, invite, never_answer, sip_request
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -8,7 +8,7 @@
 from seamlb import api
 from seamlb.emulator import clock as virtual
 from seamlb.routing.model import Outcome
-from tests.one_turn import CLEAR_WAIT_S, OneRequest, orders
+from tests.event_orders import CLEAR_WAIT_S, OneRequest, orders
 
 Setup = Callable[[], Awaitable[OneRequest]]
 
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -7,8 +7,8 @@
 from seamlb.planning.check import check
 from seamlb.planning.model import Kind, Office, Plan, PlanningError, Problem
 from seamlb.planning.program import Rule
+from seamlb.planning.reports import conflict_lines
 from seamlb.planning.solve import InfeasibleError, conflict, feasible, solve
-from seamlb.planning.words import conflict_lines
 from tests.exhaustive import best, random_problem
 from tests.problems import desk, problem
 
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 
 from seamlb import api
-from seamlb.desks.keeper import UNREACHABLE_AFTER
+from seamlb.desks.connection_manager import UNREACHABLE_AFTER
 from seamlb.desks.link import Link
-from seamlb.net.dial import connect
-from seamlb.net.reason import CloseReason
+from seamlb.net.close_reason import CloseReason
+from seamlb.net.connecting import connect
 from seamlb.protocol.sip import Message
 from seamlb.routing.model import Answer, Attempt
 from tests.loopback import (
--- a/tests/test_plugin_chain.py
+++ b/tests/test_plugin_chain.py
@@ -5,8 +5,8 @@
 import pytest
 
 from seamlb.plugins.abi import Engine, PluginError
-from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.host import Grant, Plugin
+from seamlb.plugins.type_checker import compile_rules
 from tests.plugin_modules import (
     FAULTY_MODULES,
     UNLIMITED,
--- a/tests/test_plugin_daemon.py
+++ b/tests/test_plugin_daemon.py
@@ -16,7 +16,7 @@
 from seamlb.plugins.chain import SHADOW_CALLS
 from seamlb.plugins.control import MAX_CLIENTS
 from seamlb.plugins.service import PluginService
-from seamlb.subsystems.rules import PluginsSubsystem
+from seamlb.subsystems.plugins import PluginsSubsystem
 from tests.loopback import DaemonTestCase, Peer, ScriptedDesk, config, invite, refuse
 from tests.support import RAW
 from tests.test_plugins import FAULTY_MODULES
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -3,11 +3,11 @@
 import pytest
 
 from seamlb.plugins.abi import ModuleError, PluginError
-from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.engine import MAX_MEMORY_BYTES, WasmEngine
 from seamlb.plugins.host import Facts, Grant, GrantError
-from seamlb.plugins.machine import Interpreter
+from seamlb.plugins.interpreter import Interpreter
 from seamlb.plugins.supervisor import QUARANTINE_FAULTS, Health
+from seamlb.plugins.type_checker import compile_rules
 from tests.plugin_modules import FAULTY_MODULES, build_module, call_facts, make_chain, rules_plugin, wasm_plugin
 
 
--- a/tests/test_relations.py
+++ b/tests/test_relations.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from seamlb.agree.charter import ConfigVersion, Rule, VersionError, decode
 from seamlb.agree.relations import RELATIONS
-from tests.council import founding_version
+from seamlb.agree.version import ConfigVersion, Rule, VersionError, decode
+from tests.agree_simulation import founding_version
 
 AGENTS = ["a", "b", "c"]
 ZONES = ["east", "north", "south"]
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from seamlb.planning.carry import optimal_flows
 from seamlb.planning.files import load_problem
 from seamlb.planning.model import Objective, Plan
+from seamlb.planning.placement_flows import optimal_flows
 from seamlb.planning.repair import DeskState, Repair, capacities, step_towards
 from seamlb.planning.solve import InfeasibleError, solve
 from tests.exhaustive import random_problem
-from tests.floods import COLD, FLOOD, NAMES, ROOT, with_fixed_placement
+from tests.flood_plan import COLD, FLOOD, NAMES, ROOT, with_fixed_placement
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from seamlb.rollout.change import RolloutState, RolloutStateMachine
-from seamlb.rollout.figures import Evidence, Sample
 from seamlb.rollout.plan import Stage
-from tests.rollout_toy import NEW, OLD, SimulatedFleet, make_plan
+from seamlb.rollout.samples import Evidence, Sample
+from seamlb.rollout.state_machine import RolloutState, RolloutStateMachine
+from tests.simulated_rollout import NEW, OLD, SimulatedFleet, make_plan
 
 
 class RolloutStateMachineTests(unittest.TestCase):
--- a/tests/test_rollout_analysis.py
+++ b/tests/test_rollout_analysis.py
@@ -6,8 +6,8 @@
 import unittest.mock
 from collections import Counter
 
-from seamlb.rollout.figures import Evidence, Sample
-from seamlb.rollout.judge import EventCounts, dispersion, find_regression, likelihood_ratio
+from seamlb.rollout.analysis import EventCounts, dispersion, find_regression, likelihood_ratio
+from seamlb.rollout.samples import Evidence, Sample
 
 
 class CanaryAnalysisTests(unittest.TestCase):
--- a/tests/test_rollout_files.py
+++ b/tests/test_rollout_files.py
@@ -9,11 +9,11 @@
 from click.testing import CliRunner
 
 from seamlb.cli import main
-from seamlb.rollout.change import RolloutState
-from seamlb.rollout.conductor import StateFolder
+from seamlb.rollout.controller import StateFolder
 from seamlb.rollout.plan import Stage
+from seamlb.rollout.state_machine import RolloutState
 from seamlb.store import record
-from tests.rollout_toy import make_plan
+from tests.simulated_rollout import make_plan
 
 
 class PersistenceTests(unittest.TestCase):
--- a/tests/test_rollout_keeping.py
+++ b/tests/test_rollout_processes.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from seamlb.rollout.fence import LEASE_S, Fence
-from seamlb.rollout.keeping import (
+from seamlb.rollout.processes import (
     BACKOFF_RESET_S,
     DRAIN_TIMEOUT_S,
     INITIAL_BACKOFF_S,
--- a/tests/test_acting.py
+++ b/tests/test_rule_enforcer.py
@@ -6,11 +6,11 @@
 import pytest
 
 from seamlb.agree.frames import MAX_FRAME_BYTES, Codec, FrameError, FrameReader
-from seamlb.agree.notes import Kind, Message
+from seamlb.agree.messages import Kind, Message
 from seamlb.api import Availability
+from seamlb.routing.input_filters import InputFilter, InputFilterChain
 from seamlb.routing.model import Desk
-from seamlb.routing.seam import InputFilter, InputFilterChain
-from tests.agents import FOUNDING, KEYS, desk, grant_lease, make_enforcer
+from tests.agree_agent import FOUNDING, KEYS, desk, grant_lease, make_enforcer
 from tests.support import settings
 
 
--- a/tests/test_rule_language.py
+++ b/tests/test_rule_language.py
@@ -11,12 +11,12 @@
 
 from seamlb.cli import main
 from seamlb.plugins.abi import ModuleError, custom_section, decode_manifest
-from seamlb.plugins.checking import POINTS, Program, compile_rules
 from seamlb.plugins.engine import WasmEngine
+from seamlb.plugins.formatter import format_file
+from seamlb.plugins.interpreter import Interpreter
 from seamlb.plugins.language import parse
-from seamlb.plugins.machine import Interpreter
-from seamlb.plugins.printing import format_file
 from seamlb.plugins.syntax import RuleError
+from seamlb.plugins.type_checker import POINTS, Program, compile_rules
 from seamlb.plugins.wasm import compile_program
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,7 +8,7 @@
 MAX_LINES = 250
 FOLDERS = ("seamlb", "tests", "examples", "benchmarks")
 LONGER_FILES = {
-    "seamlb/agree/council.py": 269,
+    "seamlb/agree/voter.py": 269,
     "seamlb/api.py": 462,
     "seamlb/daemon.py": 264,
     "seamlb/emulator/run.py": 269,
@@ -18,12 +18,12 @@
     "seamlb/planning/program.py": 319,
     "seamlb/planning/solve.py": 330,
     "seamlb/plugins/chain.py": 333,
-    "seamlb/plugins/checking.py": 413,
-    "seamlb/protocol/sip.py": 315,
+    "seamlb/plugins/type_checker.py": 412,
+    "seamlb/protocol/sip.py": 314,
     "seamlb/protocol/transaction.py": 294,
-    "seamlb/rollout/change.py": 271,
-    "seamlb/rollout/conductor.py": 268,
-    "seamlb/rollout/keeper.py": 351,
+    "seamlb/rollout/state_machine.py": 269,
+    "seamlb/rollout/controller.py": 268,
+    "seamlb/rollout/supervisor.py": 351,
     "seamlb/sip/endpoint.py": 411,
 }
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from seamlb.agree.council import Voter
-from seamlb.agree.kept import PersistedState, decode_state
+from seamlb.agree.persisted_state import PersistedState, decode_state
+from seamlb.agree.voter import Voter
 from seamlb.store import record
-from tests.council import LEASE, founding_version
-from tests.lying import FaultyFiles
+from tests.agree_simulation import LEASE, founding_version
+from tests.faulty_files import FaultyFiles
 
 
 def test_a_record_torn_at_any_byte_is_detected(tmp_path: Path) -> None:
--- a/tests/test_zone_pacing.py
+++ b/tests/test_zone_pacing.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from seamlb.zones.fleet import SLOT_S, ReturnPacer
+from seamlb.zones.failover import SLOT_S, ReturnPacer
 
 
 class ReturnPacing(unittest.TestCase):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -3,10 +3,10 @@
 import unittest
 
 from seamlb.routing.model import Availability, Desk, Status
-from seamlb.zones.fleet import MIN_OUT_S, RAMP_S, TRICKLE_S, VOTE_HOLD_S, Vote, ZoneFailover, ZoneState
-from seamlb.zones.overlay import ZoneFilter
-from seamlb.zones.sight import MAX_AGE_S, RECENT_S, ZoneObservations
-from tests.zoned import DESK_CAPACITY, SimulatedFleet
+from seamlb.zones.failover import MIN_OUT_S, RAMP_S, TRICKLE_S, VOTE_HOLD_S, Vote, ZoneFailover, ZoneState
+from seamlb.zones.observations import MAX_AGE_S, RECENT_S, ZoneObservations
+from seamlb.zones.zone_filter import ZoneFilter
+from tests.zone_simulation import DESK_CAPACITY, SimulatedFleet
 
 
 class Observations(unittest.TestCase):
--- a/tests/gossip.py
+++ b/tests/virtual_network.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from typing import Any
 
-from seamlb.members.guard import DatagramAuthenticator
+from seamlb.members.authentication import DatagramAuthenticator
 from seamlb.members.swim import Outgoing, Swim
 from seamlb.members.wire import Status
 
--- a/tests/zoned.py
+++ b/tests/zone_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated fleet of agents with zone failover, on the virtual network of `tests/gossip.py`.
+"""Simulated fleet of agents with zone failover, on the virtual network of `tests/virtual_network.py`.
 
 Simulates the agents' calls, desks in several zones, and faults of zones and links.
 """
@@ -10,11 +10,11 @@
 import random
 from collections import Counter, deque
 
-from seamlb.members.shares import LimitDivisor
+from seamlb.members.limit_divisor import LimitDivisor
 from seamlb.routing.model import Availability, Desk, Status
-from seamlb.zones.fleet import Vote, ZoneState
-from seamlb.zones.overlay import ZoneFilter
-from tests.gossip import VirtualNetwork
+from seamlb.zones.failover import Vote, ZoneState
+from seamlb.zones.zone_filter import ZoneFilter
+from tests.virtual_network import VirtualNetwork
 
 DESK_CAPACITY = 10.0  # calls/s
 STALL_S = 1.5
