--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -5,8 +5,9 @@
 
 Voting members and agents are the program's own, on the simulated network of `tests/agree_simulation.py`: a message
 takes 0.05 s on average, and each node processes its messages every 0.1 s. They are compared with two alternatives:
-each agent reads a changed file at a time of its own (`READ_WITHIN_S` is an assumption about how soon operators reload all
-agents), and last-writer-wins gossip (each agent sends to one other agent five times per second, with the same loss).
+each agent reads a changed file at a time of its own (`READ_WITHIN_S` is an assumption about how soon operators reload
+all agents), and last-writer-wins gossip (each agent sends to one other agent five times per second, with the same
+loss).
 A contradiction lasts from the first agent that applies the new version to the last one that applies the old; for an
 agent that is cut off, it is counted for as long as the run is watched.
 """
