--- a/seamlb/planning/model.py
+++ b/seamlb/planning/model.py
@@ -134,7 +134,7 @@
         """Units that a desk can carry if the class is placed there, by (desk, class)."""
         return {(d.name, k.name): self._class_capacity(d, k) for d in self.desks for k in self.kinds}
 
-    def _class_capacity(self, desk: PlanDesk, kind: Kind) -> int:
+    def _class_capacity(self, desk: PlanDesk, kind: Kind) -> int:  # load units, each of `grain` milli-Erlangs
         if kind.name not in desk.skills:
             return 0
         if kind.measure == "loss":
--- a/seamlb/plugins/language.py
+++ b/seamlb/plugins/language.py
@@ -149,6 +149,7 @@
 
 
 def _number(tree: Any) -> tuple[float, str]:
+    """The value of a number as written, and its unit (`ms`, `per s`, `%`); empty without one."""
     return float(tree.children[0]), str(tree.children[1]) if len(tree.children) > 1 else ""
 
 
