--- a/seamlb/routing/call.py
+++ b/seamlb/routing/call.py
@@ -7,8 +7,8 @@
 from hashlib import blake2b
 
 from seamlb.routing.inbox import Inbox
+from seamlb.routing.messages import Action, AttemptUpdate, CallerGone, Overdue, Shutdown, TimedOut
 from seamlb.routing.model import Attempt, Caller, Request
-from seamlb.routing.news import Action, AttemptUpdate, CallerGone, Overdue, Shutdown, TimedOut
 
 __all__ = ["Action", "AttemptUpdate", "CallSession", "CallerGone", "Overdue", "Shutdown", "TimedOut", "hash_key"]
 
--- a/seamlb/routing/inbox.py
+++ b/seamlb/routing/inbox.py
@@ -12,8 +12,7 @@
 from typing import cast
 
 from seamlb import api
-from seamlb.routing.model import Answer, Outcome
-from seamlb.routing.news import (
+from seamlb.routing.messages import (
     AttemptMessage,
     AttemptUpdate,
     CallerGone,
@@ -24,6 +23,7 @@
     Shutdown,
     TimedOut,
 )
+from seamlb.routing.model import Answer, Outcome
 
 
 class WaitState(Enum):
