--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -15,7 +15,7 @@
 
 from seamlb.hook import Hook
 from seamlb.plugins.chain import Chain
-from seamlb.plugins.checking import compile_text
+from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.engine import WasmEngine
 from seamlb.plugins.host import Facts, Grant, Plugin
 from seamlb.plugins.machine import Interpreter
@@ -41,13 +41,13 @@
 
 
 def own(n: int) -> Plugin:
-    program = compile_text(RULES.format(n=n))
-    return Plugin(program, Interpreter(program), Grant(most=1.0))
+    program = compile_rules(RULES.format(n=n))
+    return Plugin(program, Interpreter(program), Grant(max_share=1.0))
 
 
 def wasm(n: int) -> Plugin:
-    program = compile_text(RULES.format(n=n))
-    return Plugin(program, WasmEngine(compile_program(program), len(program.inputs)), Grant(most=1.0))
+    program = compile_rules(RULES.format(n=n))
+    return Plugin(program, WasmEngine(compile_program(program), len(program.inputs)), Grant(max_share=1.0))
 
 
 def chain(count: int, make: Make) -> Chain:
@@ -86,7 +86,7 @@
     for _ in range(5):
         began = time.perf_counter()
         for one in CALLS:
-            call = {"class": one.kind, "tenant": one.office, "number": one.number, "headers": {}}
+            call = {"class": one.class_name, "tenant": one.office, "number": one.number, "headers": {}}
             made.classify(call, {"alert-confirm": 0}, {"csongrad-megye": 0})
         rounds.append((time.perf_counter() - began) / len(CALLS) * 1e6)
     return statistics.median(rounds)
--- a/seamlb/emulator/lab.py
+++ b/seamlb/emulator/lab.py
@@ -16,7 +16,7 @@
 from seamlb.planning.files import load_problem
 from seamlb.planning.model import Plan, PlanningError, Problem
 from seamlb.planning.plan_files import plan_of
-from seamlb.plugins.checking import compile_text
+from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.syntax import RuleError
 
 FIGURES = ("worth", "worst_class", "worst_office", "cost", "attempts_per_call", "fallen", "late", "broken")
@@ -97,7 +97,7 @@
     file = path.parent / told.rules
     try:
         text = file.read_text()
-        known = compile_text(text, str(file)).declared
+        known = compile_rules(text, str(file)).declarations
     except OSError as error:
         raise PlanningError(f"{file}: {error.strerror}") from None
     except RuleError as error:
--- a/seamlb/emulator/run.py
+++ b/seamlb/emulator/run.py
@@ -25,7 +25,7 @@
 from seamlb.planning.model import PERMILLE, Problem, weights
 from seamlb.plugins.advisor import PluginAdvisor
 from seamlb.plugins.chain import Chain
-from seamlb.plugins.checking import compile_text
+from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.host import Grant, Plugin
 from seamlb.plugins.machine import Interpreter
 from seamlb.routing.agent import Agent
@@ -96,7 +96,7 @@
         self.agents[district], self.clients[district] = agent, client
 
     def _advisor(self, told: api.Settings) -> PluginAdvisor:
-        program = compile_text(self.policy.rules)
+        program = compile_rules(self.policy.rules)
         names = [one.name for one in offices(self.problem)]
         top = max(told.classes, key=lambda kind: kind.worth).name
         chain = Chain(
@@ -109,7 +109,7 @@
             lambda name, facts: None,
             lambda: 0.0,
         )
-        chain.load(0.0, Plugin(program, Interpreter(program), Grant(most=1.0)))
+        chain.load(0.0, Plugin(program, Interpreter(program), Grant(max_share=1.0)))
         for name, of in self.scenario.states:
             chain.set_state(name, of, True)
         return PluginAdvisor(chain, told, names, self.now)
--- a/seamlb/extras.py
+++ b/seamlb/extras.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from seamlb.agree.table import AgreeSettings
     from seamlb.planning.follow import Followed
-    from seamlb.plugins.loading import PluginsTable
+    from seamlb.plugins.loading import PluginsConfig
 
 T = TypeVar("T")
 
@@ -53,7 +53,7 @@
     consul: ConsulConfig | None = None
     hook: str = ""
     plan: Followed | None = None
-    plugins: PluginsTable | None = None
+    plugins: PluginsConfig | None = None
     members: MembersConfig | None = None
     member_keys: MemberKeys | None = None
     zones: ZonesConfig | None = None
@@ -139,11 +139,11 @@
     return resolve(table, folder, config.name, keys.accepted, keys.signing_key)
 
 
-def _load_local_rules(raw: Any, folder: Path) -> PluginsTable:
+def _load_local_rules(raw: Any, folder: Path) -> PluginsConfig:
     """Read the table of plug-ins and load each once as a check; ValueError if that fails."""
-    from seamlb.plugins.loading import LoadError, load_all, settings_of
+    from seamlb.plugins.loading import LoadError, load_all, parse_plugins_config
 
-    table = settings_of(raw, folder)
+    table = parse_plugins_config(raw, folder)
     try:
         load_all(table)
     except LoadError as error:
--- a/seamlb/plugins/abi.py
+++ b/seamlb/plugins/abi.py
@@ -13,7 +13,7 @@
 import orjson
 
 from seamlb.plugins.checking import MOST_INPUTS, MOST_TEXT, POINTS, Input, Program
-from seamlb.plugins.syntax import At, Declared
+from seamlb.plugins.syntax import At, Declaration
 
 ABI = 1
 SECTION = "seamlb"
@@ -56,7 +56,7 @@
             "points": sorted(program.points, key=POINTS.index),
             "declared": [
                 [one.kind, one.name, one.of, one.number, one.unit, [list(row) for row in one.rows]]
-                for one in program.declared.values()
+                for one in program.declarations.values()
             ],
         }
     )
@@ -74,7 +74,7 @@
         out.points = {_one_of(point, POINTS): [] for point in raw["points"]}
         for kind, name, of, number, unit, rows in raw["declared"]:
             kind = _one_of(kind, ("state", "table", "counter", "keep"))
-            out.declared[_name(name)] = Declared(
+            out.declarations[_name(name)] = Declaration(
                 kind,
                 name,
                 At(1, 1),
@@ -85,10 +85,10 @@
             )
         held = {"table": "table", "state": "state", "count": "counter", "rate": "counter", "keep": "keep"}
         for one in out.inputs:
-            if one.kind in held and getattr(out.declared.get(one.name), "kind", "") != held[one.kind]:
+            if one.kind in held and getattr(out.declarations.get(one.name), "kind", "") != held[one.kind]:
                 raise ValueError(f"input {one.name!r} is not declared")
         for action, text in out.answers:
-            if action in ("count", "set") and text not in out.declared:
+            if action in ("count", "set") and text not in out.declarations:
                 raise ValueError(f"{action} {text!r} is not declared")
         if len(out.inputs) > MOST_INPUTS:
             raise ValueError(f"{len(out.inputs)} inputs, {MOST_INPUTS} at most")
--- a/seamlb/plugins/advisor.py
+++ b/seamlb/plugins/advisor.py
@@ -42,7 +42,7 @@
         """What the plug-ins make of a request before the module decides."""
         facts = Facts(request.class_name, request.tenant_name, request.number, request.patience_ms, desks=len(listed))
         told = self.chain.advise(now, facts)
-        place = self.classes.get(told.kind, request.call_class)
+        place = self.classes.get(told.class_name, request.call_class)
         kind = self.settings.classes[place]
         tenant = self.offices.get(told.office, request.tenant)
         destination = request.destination
@@ -52,9 +52,9 @@
             and (kind.pools is None or desk.cell in kind.pools)
         ):
             destination = desk.cell
-        if told.kind != request.class_name and kind.pools is not None and destination not in kind.pools:
+        if told.class_name != request.class_name and kind.pools is not None and destination not in kind.pools:
             return request  # a class that its first choice can't take
-        name = kind.name if told.kind in self.classes else request.class_name
+        name = kind.name if told.class_name in self.classes else request.class_name
         if told.standing and self.settings.allowances:
             tenant = len(self.settings.allowances) + (told.standing < 0)
         return replace(
@@ -64,7 +64,7 @@
             tenant=tenant,
             tenant_name=told.office if told.office in self.offices else request.tenant_name,
             destination=destination,
-            slots=kind.width if told.kind != request.class_name else request.slots,
+            slots=kind.width if told.class_name != request.class_name else request.slots,
         )
 
     def observe(self, request: Request, result: str, attempts: int) -> None:
@@ -81,7 +81,7 @@
             )
         )
 
-    def beat(self, listed: int) -> None:
+    def tick(self, listed: int) -> None:
         """Between calls: what plug-ins are told of besides, in bounded portions."""
         now = self.clock()
         if listed != self.desks:
--- a/seamlb/plugins/chain.py
+++ b/seamlb/plugins/chain.py
@@ -35,7 +35,7 @@
 class Advice:
     """What plug-ins together say of a call: inputs of the decision module, nothing else."""
 
-    kind: str
+    class_name: str
     office: str
     standing: int = 0  # 1: precedence, -1: advised against
     desk: str = ""  # first choice, if the list and the class allow it
@@ -154,7 +154,7 @@
         if not any(
             one.kind == "state" and one.name == name
             for slot in self.slots.values()
-            for one in slot.active.program.declared.values()
+            for one in slot.active.program.declarations.values()
         ):
             raise KeyError(f"no plug-in has a state {name!r}")
         if on:
@@ -173,10 +173,10 @@
 
     def advise(self, now: float, facts: Facts) -> Advice:
         """What all plug-ins say of a call; one that faults is as if it weren't there."""
-        key = facts.number, facts.kind, facts.office
+        key = facts.number, facts.class_name, facts.office
         if facts.number and (known := self.remembered.get(key)) and now - known[0] <= self.hold_ms:
             return known[1]
-        advice = Advice(facts.kind, facts.office)
+        advice = Advice(facts.class_name, facts.office)
         if self.slots:
             began = self.timer()
             advice = self._ask_all(now, facts)
@@ -215,7 +215,7 @@
                             slot.conflicts += against
                             spared = moves = True
                     case "refuse":
-                        if facts.kind != self.top and kind != self.top and self._within(now, slot, facts):
+                        if facts.class_name != self.top and kind != self.top and self._within(now, slot, facts):
                             slot.conflicts += spared
                             against = moves = True
                     case "prefer":
@@ -229,11 +229,11 @@
                         pass  # a class or office that does not exist
             if moves:
                 slot.moved.add(now, facts.office)
-        return Advice(kind or facts.kind, office or facts.office, 1 if spared else -1 if against else 0, desk)
+        return Advice(kind or facts.class_name, office or facts.office, 1 if spared else -1 if against else 0, desk)
 
     def _within(self, now: float, slot: Slot, facts: Facts) -> bool:
         """May it move one more of this office's calls?"""
-        room = slot.active.grant.most * slot.seen_calls.count(now, facts.office)
+        room = slot.active.grant.max_share * slot.seen_calls.count(now, facts.office)
         inside = slot.moved.count(now, facts.office) + 1 <= room
         slot.bounded += not inside
         return inside
--- a/seamlb/plugins/checking.py
+++ b/seamlb/plugins/checking.py
@@ -11,7 +11,7 @@
 from difflib import get_close_matches
 
 from seamlb.plugins.language import parse
-from seamlb.plugins.syntax import Action, At, Declared, File, Node, Rule, RuleError, fail
+from seamlb.plugins.syntax import Action, At, Declaration, File, Node, Rule, RuleError, fail
 
 POINTS = ("classify", "admit", "prefer", "observe", "tick", "list_changed")
 CALL_POINTS = ("classify", "admit", "prefer", "observe")
@@ -97,16 +97,16 @@
     inputs: list[Input] = field(default_factory=list)
     answers: list[tuple[str, str]] = field(default_factory=list)  # action, its text
     points: dict[str, list[Clause]] = field(default_factory=dict)
-    declared: dict[str, Declared] = field(default_factory=dict)
+    declarations: dict[str, Declaration] = field(default_factory=dict)
     warnings: list[str] = field(default_factory=list)
 
     def uses(self) -> set[str]:
         """The facts that it reads, by name; what a manifest has to grant."""
-        held = {one.of for one in self.declared.values() if one.of}
+        held = {one.of for one in self.declarations.values() if one.of}
         return {one.name for one in self.inputs if one.kind in ("fact", "is", "starts")} | held
 
 
-def compile_text(text: str, path: str = "rules") -> Program:
+def compile_rules(text: str, path: str = "rules") -> Program:
     """Parse and check; RuleError tells file, line, column and a hint."""
     return Checker(parse(text, path)).run()
 
@@ -121,7 +121,7 @@
 
     def run(self) -> Program:
         """Check the file; returns the program, or raises RuleError at the first fault."""
-        for one in self.file.declared:
+        for one in self.file.declarations:
             self._declare(one)
         if len(self.file.rules) > MOST_RULES:
             raise fail(self.file.path, At(1, 1), f"{len(self.file.rules)} rules", f"{MOST_RULES} at most")
@@ -160,8 +160,8 @@
 
     # -- declarations -----------------------------------------------------------------------------
 
-    def _declare(self, one: Declared) -> None:
-        if one.name in self.out.declared or one.name in FACTS:
+    def _declare(self, one: Declaration) -> None:
+        if one.name in self.out.declarations or one.name in FACTS:
             raise fail(self.file.path, one.at, f"{one.name} is there already")
         if one.of and FACTS.get(one.of, ("",))[0] != TEXT:
             raise self._unknown(one.at, "fact to hold it by", one.of, [f for f, v in FACTS.items() if v[0] == TEXT])
@@ -180,7 +180,7 @@
             unit, scale = UNITS[one.unit]
             if unit != TIME or not 1000.0 <= one.number * scale <= 86_400_000.0:
                 raise fail(self.file.path, one.at, f"counter {one.name} is over a time", "from 1 s to 24 h")
-        self.out.declared[one.name] = one
+        self.out.declarations[one.name] = one
 
     # -- rules ------------------------------------------------------------------------------------
 
@@ -214,13 +214,13 @@
         value = None
         if action.kind in ("count", "set"):
             wanted = "counter" if action.kind == "count" else "keep"
-            named = [one.name for one in self.out.declared.values() if one.kind == wanted]
+            named = [one.name for one in self.out.declarations.values() if one.kind == wanted]
             if action.value not in named:
                 raise self._unknown(action.at, wanted, action.value, named)
-            self._held(self.out.declared[action.value], action.at, point)
+            self._held(self.out.declarations[action.value], action.at, point)
         if action.expr is not None:
             value, kind = self._typed(action.expr, point)
-            unit = UNITS[self.out.declared[action.value].unit][0]
+            unit = UNITS[self.out.declarations[action.value].unit][0]
             if kind != unit:
                 raise fail(self.file.path, action.expr.at, f"{action.value} holds a {unit}, this is a {kind}")
         pair = action.kind, action.value
@@ -228,7 +228,7 @@
             self.out.answers.append(pair)
         return Step(self.out.answers.index(pair), value)
 
-    def _held(self, one: Declared, at: At, point: str) -> None:
+    def _held(self, one: Declaration, at: At, point: str) -> None:
         if one.of:
             self._fact(one.of, at, point)
 
@@ -295,15 +295,15 @@
 
     def _name(self, node: Node, point: str) -> tuple[Expr, str]:
         name: str = node.value
-        if one := self.out.declared.get(name):
+        if one := self.out.declarations.get(name):
             self._held(one, node.at, point)
             kind = {"state": TRUTH, "counter": NUMBER}.get(one.kind) or UNITS[one.unit][0]
             return self._input(Input({"counter": "count"}.get(one.kind, one.kind), name)), kind
-        if name.endswith("_rate") and (one := self.out.declared.get(name[:-5])) and one.kind == "counter":
+        if name.endswith("_rate") and (one := self.out.declarations.get(name[:-5])) and one.kind == "counter":
             self._held(one, node.at, point)
             return self._input(Input("rate", one.name)), RATE
         if name not in FACTS:
-            raise self._unknown(node.at, "name", name, [*FACTS, *self.out.declared])
+            raise self._unknown(node.at, "name", name, [*FACTS, *self.out.declarations])
         kind = self._fact(name, node.at, point)
         if kind == TEXT:
             raise fail(self.file.path, node.at, f"{name} is a text", f'compare it, like {name} == "..."')
--- a/seamlb/plugins/command.py
+++ b/seamlb/plugins/command.py
@@ -10,7 +10,7 @@
 import orjson
 
 from seamlb.plugins.abi import ModuleError
-from seamlb.plugins.checking import compile_text
+from seamlb.plugins.checking import compile_rules
 from seamlb.plugins.control import ask
 from seamlb.plugins.host import Grant
 from seamlb.plugins.language import parse
@@ -94,7 +94,7 @@
 def explain(path: Path) -> None:
     """What a rule file reads and answers, rule by rule."""
     try:
-        click.echo("\n".join(explained(compile_text(_read(path), str(path)))))
+        click.echo("\n".join(explained(compile_rules(_read(path), str(path)))))
     except RuleError as error:
         _end(str(error))
 
@@ -105,7 +105,7 @@
 def compile_file(path: Path, out: Path) -> None:
     """A rule file as a WebAssembly module against the same ABI."""
     try:
-        out.write_bytes(compile_program(compile_text(_read(path), str(path))))
+        out.write_bytes(compile_program(compile_rules(_read(path), str(path))))
     except (RuleError, ModuleError, OSError) as error:
         _end(str(error))
 
--- a/seamlb/plugins/host.py
+++ b/seamlb/plugins/host.py
@@ -21,7 +21,7 @@
 class Facts:
     """What a plug-in may learn of a call, and of the world when there is none."""
 
-    kind: str = ""
+    class_name: str = ""
     office: str = ""
     number: str = ""
     patience: float = 0.0
@@ -31,7 +31,7 @@
 
     def text(self, name: str) -> str:
         """A fact that is a text, by name."""
-        return {"class": self.kind, "office": self.office, "number": self.number, "result": self.result}[name]
+        return {"class": self.class_name, "office": self.office, "number": self.number, "result": self.result}[name]
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,8 +40,8 @@
 
     points: frozenset[str] = frozenset(POINTS)
     facts: frozenset[str] | None = None  # None: all
-    most: float = 0.1  # the most it may move: the part of an office's calls in a minute
-    lasting: bool = True  # its state outlives a reload
+    max_share: float = 0.1  # the most it may move: the part of an office's calls in a minute
+    keep_state: bool = True  # its state outlives a reload
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,11 +80,11 @@
                 {key: value * UNITS[unit][1] for key, value, unit in one.rows},
                 one.number * UNITS[one.unit][1],
             )
-            for one in program.declared.values()
+            for one in program.declarations.values()
             if one.kind == "table"
         }
         self.state = State()
-        for one in program.declared.values():
+        for one in program.declarations.values():
             if one.kind == "counter":
                 self.state.counters[one.name] = Window(one.number * UNITS[one.unit][1])
             elif one.kind == "keep":
@@ -98,11 +98,11 @@
 
     def inherit(self, old: Plugin) -> list[str]:
         """Take over the state that both versions hold alike; the names of what could not be."""
-        if not (self.grant.lasting and old.grant.lasting):
+        if not (self.grant.keep_state and old.grant.keep_state):
             return sorted(old.state.counters.keys() | old.state.kept.keys())
         lost = []
-        for name, one in old.program.declared.items():
-            mine = self.program.declared.get(name)
+        for name, one in old.program.declarations.items():
+            mine = self.program.declarations.get(name)
             same = mine is not None and (mine.kind, mine.of) == (one.kind, one.of)
             if one.kind == "counter":
                 if same and self.state.counters[name].span == old.state.counters[name].span:
@@ -159,7 +159,7 @@
             self.state.kept[answer.text].put(key, answer.value)
 
     def _key(self, name: str, facts: Facts) -> str:
-        of = self.program.declared[name].of
+        of = self.program.declarations[name].of
         return facts.text(of) if of else ""
 
     def _inputs(self, now: float, facts: Facts, states: Mapping[tuple[str, str], bool]) -> list[float]:
--- a/seamlb/plugins/language.py
+++ b/seamlb/plugins/language.py
@@ -12,7 +12,7 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, UnexpectedToken
 
-from seamlb.plugins.syntax import Action, At, Declared, File, Node, Rule, RuleError, fail
+from seamlb.plugins.syntax import Action, At, Declaration, File, Node, Rule, RuleError, fail
 
 GRAMMAR = r"""
 start: header item*
@@ -143,7 +143,7 @@
         if item.data == "rule":
             out.rules.append(_rule(item, path))
         else:
-            out.declared.append(_declared(item, path))
+            out.declarations.append(_declared(item, path))
     return out
 
 
@@ -170,7 +170,7 @@
     return rows
 
 
-def _declared(item: Tree[Token], path: str) -> Declared:
+def _declared(item: Tree[Token], path: str) -> Declaration:
     kind, at, of, rows = str(item.data), _at(item), "", list[tuple[str, float, str]]()
     number, unit = 0.0, ""
     for part in item.children[1:]:
@@ -180,7 +180,7 @@
             of = str(part.children[0])
         else:
             number, unit = _number(part)
-    return Declared(kind, str(item.children[0]), at, of, number, unit, tuple(rows))
+    return Declaration(kind, str(item.children[0]), at, of, number, unit, tuple(rows))
 
 
 def _rule(item: Tree[Token], path: str) -> Rule:
--- a/seamlb/plugins/loading.py
+++ b/seamlb/plugins/loading.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from seamlb.plugins.abi import MOST_MODULE, ModuleError, custom_section, read_manifest
-from seamlb.plugins.checking import FACTS, POINTS, compile_text
+from seamlb.plugins.checking import FACTS, POINTS, compile_rules
 from seamlb.plugins.host import Grant, GrantError, Plugin
 from seamlb.plugins.language import MOST_BYTES
 from seamlb.plugins.machine import Interpreter
@@ -23,7 +23,7 @@
     """A plug-in or its settings can't be used; its text is one line."""
 
 
-class PluginTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class PluginConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """One `[[plugins.plugin]]`; a file is relative to the settings' own."""
 
     file: str
@@ -34,18 +34,18 @@
     enabled: bool = True
 
 
-class PluginsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class PluginsConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[plugins]`."""
 
-    plugin: tuple[PluginTable, ...] = ()
+    plugin: tuple[PluginConfig, ...] = ()
     control: str = ""  # path of the control socket
     fuel: Annotated[int, msgspec.Meta(ge=100, le=10_000_000)] = 20_000  # of a call, for all plug-ins together
     part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.1  # of the core, for all together
 
 
-def settings_of(raw: Any, folder: Path) -> PluginsTable:
+def parse_plugins_config(raw: Any, folder: Path) -> PluginsConfig:
     """The checked table, its paths made whole; ValueError names key and reason."""
-    table = msgspec.convert(raw, PluginsTable)
+    table = msgspec.convert(raw, PluginsConfig)
     for place, one in enumerate(table.plugin):
         for key, names, known in (("points", one.points, POINTS), ("facts", one.facts or (), tuple(FACTS))):
             if unknown := sorted(set(names) - set(known)):
@@ -75,7 +75,7 @@
 
             engine = WasmEngine(data, len(program.inputs))
             return Plugin(program, engine, grants.get(program.name, grant), data)
-        program = compile_text(data.decode(), path)
+        program = compile_rules(data.decode(), path)
         return Plugin(program, Interpreter(program), grants.get(program.name, grant), data)
     except RuleError as error:
         raise LoadError(str(error)) from None
@@ -85,14 +85,14 @@
         raise LoadError(f"{path}: {error}") from None
 
 
-def grant_of(table: PluginTable) -> Grant:
+def grant_of(table: PluginConfig) -> Grant:
     """What the settings let a plug-in answer, read and use."""
     return Grant(
         frozenset(table.points), None if table.facts is None else frozenset(table.facts), table.most, table.lasting
     )
 
 
-def load_all(table: PluginsTable) -> list[tuple[PluginTable, Plugin]]:
+def load_all(table: PluginsConfig) -> list[tuple[PluginConfig, Plugin]]:
     """Every plug-in of the settings, or LoadError: one that can't be used leaves all as they were."""
     out, names = [], set[str]()
     for one in table.plugin:
--- a/seamlb/plugins/printing.py
+++ b/seamlb/plugins/printing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from seamlb.plugins.checking import Expr, Program
-from seamlb.plugins.syntax import Action, Declared, File, Node
+from seamlb.plugins.syntax import Action, Declaration, File, Node
 
 RANK = {
     "any_of": 1,
@@ -65,7 +65,7 @@
     return f'{word} "{one.value}"' if one.kind in ("to_class", "to_office", "prefer", "alarm") else word
 
 
-def declaration(one: Declared) -> str:
+def declaration(one: Declaration) -> str:
     """A declaration as the language writes it."""
     of = f" of {one.of}" if one.of else ""
     if one.kind == "state":
@@ -81,8 +81,8 @@
 def formatted(file: File) -> str:
     """The file in one form; comments are not kept."""
     blocks = [f"plugin {file.name} version {file.version}"]
-    if file.declared:
-        blocks.append("\n".join(declaration(one) for one in file.declared))
+    if file.declarations:
+        blocks.append("\n".join(declaration(one) for one in file.declarations))
     for rule in file.rules:
         when = f"\n  when {expression(rule.when)}" if rule.when is not None else ""
         blocks.append(f"rule {rule.name} on {rule.point}{when}\n  then {', '.join(action(a) for a in rule.actions)}")
--- a/seamlb/plugins/service.py
+++ b/seamlb/plugins/service.py
@@ -9,7 +9,7 @@
 from seamlb.plugins.advisor import PluginAdvisor
 from seamlb.plugins.chain import Chain
 from seamlb.plugins.host import Grant, Plugin
-from seamlb.plugins.loading import LoadError, PluginsTable, PluginTable, load_plugin
+from seamlb.plugins.loading import LoadError, PluginConfig, PluginsConfig, load_plugin
 from seamlb.plugins.supervisor import Health
 
 
@@ -18,13 +18,13 @@
 
     def __init__(
         self,
-        table: PluginsTable,
-        loaded: Sequence[tuple[PluginTable, Plugin]],
+        table: PluginsConfig,
+        loaded: Sequence[tuple[PluginConfig, Plugin]],
         settings: api.Settings,
         offices: Sequence[str],
         clock: Callable[[], float],
     ) -> None:
-        self.table, self.clock = table, clock
+        self.config, self.clock = table, clock
         top = max(settings.classes, key=lambda kind: kind.worth)
         self.chain = Chain(
             table.fuel,
@@ -40,7 +40,7 @@
         self.files: dict[str, str] = {}
         self._take(loaded)
 
-    def _take(self, loaded: Sequence[tuple[PluginTable, Plugin]]) -> None:
+    def _take(self, loaded: Sequence[tuple[PluginConfig, Plugin]]) -> None:
         now = self.clock()
         for one, plugin in loaded:
             self.grants[plugin.name], self.files[plugin.name] = plugin.grant, one.file
@@ -52,11 +52,11 @@
                 self.chain.enable(plugin.name, one.enabled)
         self.chain.order([plugin.name for _, plugin in loaded])
 
-    def reload(self, table: PluginsTable, loaded: Sequence[tuple[PluginTable, Plugin]]) -> None:
+    def reload(self, table: PluginsConfig, loaded: Sequence[tuple[PluginConfig, Plugin]]) -> None:
         """SIGHUP: new ones are loaded, changed ones shadowed, those that are gone are unloaded."""
         for name in self.chain.slots.keys() - {plugin.name for _, plugin in loaded}:
             self.chain.unload(name)
-        self.table = table
+        self.config = table
         self.chain.fuel, self.chain.supervisor.part = table.fuel, table.part
         self._take(loaded)
 
--- a/seamlb/plugins/syntax.py
+++ b/seamlb/plugins/syntax.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Declared:
+class Declaration:
     """A state, table, counter or kept value."""
 
     kind: str
@@ -69,7 +69,7 @@
     path: str
     name: str
     version: int
-    declared: list[Declared] = field(default_factory=list)
+    declarations: list[Declaration] = field(default_factory=list)
     rules: list[Rule] = field(default_factory=list)
 
 
--- a/seamlb/subsystems/rules.py
+++ b/seamlb/subsystems/rules.py
@@ -7,7 +7,7 @@
 from seamlb.config import Config, ConfigError
 from seamlb.extras import Plugins
 from seamlb.plugins.control import ControlSocket
-from seamlb.plugins.loading import LoadError, PluginsTable, load_all
+from seamlb.plugins.loading import LoadError, PluginsConfig, load_all
 from seamlb.plugins.service import PluginService
 from seamlb.routing.agent import Agent
 from seamlb.subsystems import Subsystem
@@ -21,15 +21,15 @@
     RELOADABLE = ("plugins",)
     settings_need_restart = True
 
-    def __init__(self, config: Config, table: PluginsTable, clock: Callable[[], float]) -> None:
+    def __init__(self, config: Config, table: PluginsConfig, clock: Callable[[], float]) -> None:
         self.service = PluginService(table, load_all(table), config.settings, config.tenants, clock)
         self.agent: Agent | None = None
         self.control: ControlSocket | None = None
 
     async def on_ready(self) -> None:
         """Open the control socket, if one is configured."""
-        if self.service.table.control:
-            self.control = ControlSocket(self.service.table.control, self.service.handle)
+        if self.service.config.control:
+            self.control = ControlSocket(self.service.config.control, self.service.handle)
             await self.control.start()
 
     def periodic_tasks(self) -> list[tuple[float, str, Callable[[], None]]]:
@@ -39,7 +39,7 @@
     def step(self) -> None:
         """Pass time and the length of the list to the plug-ins."""
         if self.agent:
-            self.service.advisor.beat(len(self.agent.listed))
+            self.service.advisor.tick(len(self.agent.listed))
 
     def check(self, plugins: Plugins) -> list[str]:
         """Reload the plug-ins; raises ConfigError, with no effect, if a file has changed and is unusable."""
@@ -50,7 +50,7 @@
             loaded = load_all(table)
         except LoadError as error:
             raise ConfigError(str(error)) from None
-        restart_only = ["plugins.control"] if table.control != self.service.table.control else []
+        restart_only = ["plugins.control"] if table.control != self.service.config.control else []
         self.service.reload(table, loaded)
         return restart_only
 
